--- a/agent/runner/agent.go
+++ b/agent/runner/agent.go
@@ -17,7 +17,6 @@
 	"oleandertally/agent/executor"
 	"oleandertally/agent/invoker"
 	"oleandertally/agent/listener"
-	"oleandertally/core/attender"
 	"oleandertally/core/authenticator"
 	"oleandertally/core/configurator"
 	"oleandertally/core/dialer"
@@ -25,6 +24,7 @@
 	"oleandertally/core/mailer"
 	"oleandertally/core/operator"
 	"oleandertally/core/recorder"
+	"oleandertally/core/registrant"
 	"oleandertally/core/reporter"
 	"oleandertally/core/specifier"
 	"oleandertally/core/supervisor"
@@ -65,8 +65,8 @@
 	mailbox       *mailer.Mailbox[executor.Event]
 	links         *listener.Links
 	invoker       *invoker.Invoker
-	attender      *attender.Attender
-	lease         *attender.Lease
+	attender      *registrant.Attender
+	lease         *registrant.Lease
 	pings         pings
 	pool          *dialer.Pool
 	web           *http.Server
@@ -134,7 +134,7 @@
 }
 
 func (a *Agent) watchLease() {
-	a.lease = attender.NewLease()
+	a.lease = registrant.NewLease()
 	a.lease.Clock = time.Now
 	a.lease.Renewed = func(left time.Duration) {
 		a.Health.Meet(conditionLease)
@@ -155,7 +155,7 @@
 	defer a.pool.Close()
 	group, ctx := errgroup.WithContext(ctx)
 	a.calls, a.callCtx = group, ctx
-	a.attender = attender.New()
+	a.attender = registrant.New()
 	a.attender.Member = a.member(0)
 	a.attender.Controllers, a.attender.Pool, a.attender.Log = a.Settings.Controllers, a.pool, a.Log
 	a.attender.Notify = a.notify
@@ -183,7 +183,7 @@
 }
 
 // notify turns what the controllers say into events.
-func (a *Agent) notify(ctx context.Context, notice attender.Notice) error {
+func (a *Agent) notify(ctx context.Context, notice registrant.Notice) error {
 	if notice.Self != a.Self() {
 		// What is recorded from now on belongs to the new incarnation; nothing has started since the lease
 		// of the old one ended.
--- a/agent/runner/agent_test.go
+++ b/agent/runner/agent_test.go
@@ -11,10 +11,10 @@
 	"go.uber.org/goleak"
 	"golang.org/x/sync/errgroup"
 
-	"oleandertally/core/attender"
 	"oleandertally/core/authenticator"
 	"oleandertally/core/configurator"
 	"oleandertally/core/recorder"
+	"oleandertally/core/registrant"
 	"oleandertally/core/reporter"
 	"oleandertally/core/specifier"
 	"oleandertally/core/supervisor"
@@ -68,9 +68,9 @@
 	first := agent.Self()
 	second := specifier.Identity{Name: first.Name, Incarnation: first.Incarnation + 1}
 	agent.Events.Add(recorder.Event{Kind: recorder.TaskStarted})
-	must.NoError(t, agent.notify(t.Context(), attender.Notice{Self: first}))
+	must.NoError(t, agent.notify(t.Context(), registrant.Notice{Self: first}))
 	agent.Events.Add(recorder.Event{Kind: recorder.TaskEnded})
-	must.NoError(t, agent.notify(t.Context(), attender.Notice{Self: second}))
+	must.NoError(t, agent.notify(t.Context(), registrant.Notice{Self: second}))
 	agent.Events.Add(recorder.Event{Kind: recorder.TaskStarted})
 	events, _ := agent.Events.All()
 	must.Len(t, 3, events)
--- a/agent/runner/steps.go
+++ b/agent/runner/steps.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"oleandertally/agent/executor"
-	"oleandertally/core/attender"
+	"oleandertally/core/registrant"
 	"oleandertally/core/supervisor"
 )
 
@@ -48,7 +48,7 @@
 	if err := wait(ctx, a.attended); err != nil {
 		return err
 	}
-	departure := &attender.Departure{Identity: a.Self(), Controllers: a.Settings.Controllers, Pool: a.pool}
+	departure := &registrant.Departure{Identity: a.Self(), Controllers: a.Settings.Controllers, Pool: a.pool}
 	return departure.Run(ctx)
 }
 
--- a/controller/server/bench_test.go
+++ b/controller/server/bench_test.go
@@ -18,10 +18,10 @@
 	"golang.org/x/sync/errgroup"
 	"google.golang.org/grpc/stats"
 
-	"oleandertally/core/attender"
 	"oleandertally/core/dialer"
 	"oleandertally/core/encoder"
 	"oleandertally/core/operator"
+	"oleandertally/core/registrant"
 	"oleandertally/core/specifier"
 	"oleandertally/state/journaler"
 )
@@ -201,13 +201,13 @@
 	counter := &byteCounter{}
 	var group errgroup.Group
 	for i := range members {
-		who := attender.New()
+		who := registrant.New()
 		who.Pool = &dialer.Pool{Credentials: c.pool.Credentials}
 		who.Member = specifier.Member{Identity: specifier.Identity{Name: fmt.Sprintf("worker-%d", i), Incarnation: 1}, Role: specifier.Agent,
 			Addr: c.peers[0].Addr, Zone: "heredia", Service: "reservas", Slots: 8}
 		who.Load = func() *specifier.Load { return &specifier.Load{Slots: 8} }
 		who.Log = zerolog.Nop()
-		who.Notify = func(context.Context, attender.Notice) error { return nil }
+		who.Notify = func(context.Context, registrant.Notice) error { return nil }
 		for _, peer := range c.peers {
 			who.Controllers = append(who.Controllers, peer.Addr)
 		}
--- a/core/attender/lease.go
+++ b/core/registrant/lease.go
@@ -1,4 +1,4 @@
-package attender
+package registrant
 
 import (
 	"context"
--- a/entry/runner/entry.go
+++ b/entry/runner/entry.go
@@ -15,7 +15,6 @@
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/stats"
 
-	"oleandertally/core/attender"
 	"oleandertally/core/authenticator"
 	"oleandertally/core/configurator"
 	"oleandertally/core/dialer"
@@ -23,6 +22,7 @@
 	"oleandertally/core/mailer"
 	"oleandertally/core/operator"
 	"oleandertally/core/recorder"
+	"oleandertally/core/registrant"
 	"oleandertally/core/reporter"
 	"oleandertally/core/specifier"
 	"oleandertally/core/supervisor"
@@ -71,7 +71,7 @@
 	proposer *linker.Proposer
 	agents   *linker.Agents
 	asker    *linker.Asker
-	lease    *attender.Lease
+	lease    *registrant.Lease
 	pools    pools
 	web      *http.Server
 	server   *grpc.Server
@@ -104,7 +104,7 @@
 	e.drained = make(chan struct{}, 1)
 	e.leave, e.attended = make(chan struct{}), make(chan struct{})
 	e.waiters = &answerer.Waiters{}
-	e.lease = attender.NewLease()
+	e.lease = registrant.NewLease()
 	e.pools = newPools(e.Security, int(e.Settings.MaxMessage), &reporter.Bytes{Member: e.Metrics.Member}, e.Stats)
 	e.Health.Probe = e.probe
 	var err error
@@ -174,7 +174,7 @@
 
 // attend attends at the controllers until the entry leaves.
 func (e *Entry) attend(group *errgroup.Group, ctx context.Context) {
-	attendance := attender.New()
+	attendance := registrant.New()
 	attendance.Member = specifier.Member{Identity: e.Self(), Role: specifier.Entry, Addr: e.Settings.PeerAddr,
 		Zone: e.Settings.Zone, Rack: e.Settings.Rack}
 	attendance.Needs = func() []specifier.ServiceShare {
@@ -194,7 +194,7 @@
 func (e *Entry) Self() specifier.Identity { return *e.self.Load() }
 
 // notify turns what the controllers say into events.
-func (e *Entry) notify(ctx context.Context, notice attender.Notice) error {
+func (e *Entry) notify(ctx context.Context, notice registrant.Notice) error {
 	var events []coordinator.Event
 	if !notice.Until.IsZero() {
 		e.self.Store(&notice.Self)
--- a/entry/runner/steps.go
+++ b/entry/runner/steps.go
@@ -6,7 +6,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"oleandertally/core/attender"
+	"oleandertally/core/registrant"
 	"oleandertally/core/supervisor"
 	"oleandertally/entry/coordinator"
 )
@@ -67,7 +67,7 @@
 	case <-ctx.Done():
 		return context.Cause(ctx)
 	}
-	departure := &attender.Departure{Identity: e.Self(), Controllers: e.Settings.Controllers, Pool: e.pools.controllers}
+	departure := &registrant.Departure{Identity: e.Self(), Controllers: e.Settings.Controllers, Pool: e.pools.controllers}
 	return departure.Run(ctx)
 }
 
