--- a/agent/tender/tender.go
+++ b/agent/tender/tender.go
@@ -14,8 +14,8 @@
 
 	"oleandertally/agent/leaseholder"
 	"oleandertally/core/encoder"
+	"oleandertally/core/locator"
 	"oleandertally/core/mailer"
-	"oleandertally/core/seeker"
 	"oleandertally/core/specifier"
 )
 
@@ -43,7 +43,7 @@
 	Noted       func(leaseholder.Note) // told of each decision; must not block; nil for nobody
 
 	mailbox *mailer.Mailbox[event]
-	seeker  *seeker.Seeker[*encoder.QueueOrder, *encoder.QueueReport]
+	seeker  *locator.Seeker[*encoder.QueueOrder, *encoder.QueueReport]
 	calls   *errgroup.Group
 	ctx     context.Context
 }
@@ -59,9 +59,9 @@
 		return errors.New("tender: GrantSpan, HoldMost: expected more than 0")
 	}
 	t.mailbox = mailer.NewMailbox[event](mailboxSize)
-	t.seeker = &seeker.Seeker[*encoder.QueueOrder, *encoder.QueueReport]{
+	t.seeker = &locator.Seeker[*encoder.QueueOrder, *encoder.QueueReport]{
 		Seeds: t.Seeds, Credentials: t.Credentials, Silence: silence,
-		Open: func(ctx context.Context, conn *grpc.ClientConn) (seeker.Stream[*encoder.QueueOrder, *encoder.QueueReport], error) {
+		Open: func(ctx context.Context, conn *grpc.ClientConn) (locator.Stream[*encoder.QueueOrder, *encoder.QueueReport], error) {
 			return encoder.NewQueueKeeperClient(conn).Attend(ctx)
 		},
 		Welcome: (*encoder.QueueOrder).GetWelcome,
--- a/core/seeker/book.go
+++ b/core/locator/book.go
@@ -1,4 +1,4 @@
-package seeker
+package locator
 
 import (
 	"net/netip"
--- /dev/null
+++ b/core/locator/doc.go
@@ -0,0 +1,2 @@
+// Package locator keeps one stream open to the controller that leads.
+package locator
--- a/core/seeker/stream.go
+++ b/core/locator/stream.go
@@ -1,4 +1,4 @@
-package seeker
+package locator
 
 // Stream is the client's side of a gRPC stream.
 type Stream[In, Out any] interface {
--- a/entry/requester/requester.go
+++ b/entry/requester/requester.go
@@ -10,8 +10,8 @@
 	"google.golang.org/grpc/credentials"
 
 	"oleandertally/core/encoder"
+	"oleandertally/core/locator"
 	"oleandertally/core/mailer"
-	"oleandertally/core/seeker"
 	"oleandertally/core/specifier"
 )
 
@@ -29,15 +29,15 @@
 	Changed func(controller netip.AddrPort, cause error)
 
 	mailbox *mailer.Mailbox[event]
-	seeker  *seeker.Seeker[*encoder.QueueReplies, *encoder.QueueCalls]
+	seeker  *locator.Seeker[*encoder.QueueReplies, *encoder.QueueCalls]
 }
 
 // Open prepares the requester for calls, which wait until it runs.
 func (r *Requester) Open() {
 	r.mailbox = mailer.NewMailbox[event](mailboxSize)
-	r.seeker = &seeker.Seeker[*encoder.QueueReplies, *encoder.QueueCalls]{
+	r.seeker = &locator.Seeker[*encoder.QueueReplies, *encoder.QueueCalls]{
 		Seeds: r.Seeds, Credentials: r.Credentials, Silence: silence,
-		Open: func(ctx context.Context, conn *grpc.ClientConn) (seeker.Stream[*encoder.QueueReplies, *encoder.QueueCalls], error) {
+		Open: func(ctx context.Context, conn *grpc.ClientConn) (locator.Stream[*encoder.QueueReplies, *encoder.QueueCalls], error) {
 			return encoder.NewQueueKeeperClient(conn).Call(ctx)
 		},
 		Welcome: (*encoder.QueueReplies).GetWelcome,
