--- a/agent/listener/announcer.go
+++ b/agent/listener/announcer.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"oleandertally/agent/executor"
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 	"oleandertally/core/specifier"
 )
 
@@ -15,7 +15,7 @@
 
 // Announcer serves the upstream's announcements. Fields are set before use.
 type Announcer struct {
-	Sink  *mailer.Mailbox[executor.Event]
+	Sink  *looper.Mailbox[executor.Event]
 	Clock func() time.Time
 }
 
--- a/agent/listener/links.go
+++ b/agent/listener/links.go
@@ -4,7 +4,7 @@
 	"sync"
 
 	"oleandertally/core/encoder"
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 	"oleandertally/core/specifier"
 )
 
@@ -18,18 +18,18 @@
 // entryLink is the present stream of one entry.
 type entryLink struct {
 	link uint64
-	box  *mailer.Outbox[*encoder.AgentMessage]
+	box  *looper.Outbox[*encoder.AgentMessage]
 }
 
 // Open replaces the entry's stream and returns the number of the new one.
-func (l *Links) Open(entry specifier.Identity) (uint64, *mailer.Outbox[*encoder.AgentMessage]) {
+func (l *Links) Open(entry specifier.Identity) (uint64, *looper.Outbox[*encoder.AgentMessage]) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.open == nil {
 		l.open = make(map[specifier.Identity]entryLink)
 	}
 	l.last++
-	opened := entryLink{link: l.last, box: mailer.NewOutbox[*encoder.AgentMessage]()}
+	opened := entryLink{link: l.last, box: looper.NewOutbox[*encoder.AgentMessage]()}
 	l.open[entry] = opened
 	return opened.link, opened.box
 }
--- a/agent/listener/worker.go
+++ b/agent/listener/worker.go
@@ -10,7 +10,7 @@
 
 	"oleandertally/agent/executor"
 	"oleandertally/core/encoder"
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 	"oleandertally/core/specifier"
 )
 
@@ -19,7 +19,7 @@
 	encoder.UnimplementedWorkerServer
 
 	Self  func() specifier.Identity
-	Sink  *mailer.Mailbox[executor.Event]
+	Sink  *looper.Mailbox[executor.Event]
 	Links *Links
 	Clock func() time.Time
 	// Verify returns an error unless the call of ctx comes from the entry with that name.
@@ -62,7 +62,7 @@
 }
 
 // send merges what waits into one message, up to a bound on its results.
-func send(ctx context.Context, stream encoder.Worker_LinkServer, box *mailer.Outbox[*encoder.AgentMessage]) error {
+func send(ctx context.Context, stream encoder.Worker_LinkServer, box *looper.Outbox[*encoder.AgentMessage]) error {
 	const mergeBytes = 1 << 20
 	for {
 		messages, err := box.Take(ctx)
--- a/agent/runner/agent.go
+++ b/agent/runner/agent.go
@@ -21,7 +21,7 @@
 	"oleandertally/core/configurator"
 	"oleandertally/core/dialer"
 	"oleandertally/core/encoder"
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 	"oleandertally/core/operator"
 	"oleandertally/core/recorder"
 	"oleandertally/core/registrant"
@@ -62,7 +62,7 @@
 	Log      zerolog.Logger
 
 	self          atomic.Pointer[specifier.Identity]
-	mailbox       *mailer.Mailbox[executor.Event]
+	mailbox       *looper.Mailbox[executor.Event]
 	links         *listener.Links
 	invoker       *invoker.Invoker
 	attender      *registrant.Attender
@@ -100,7 +100,7 @@
 	identity := specifier.Identity{Name: a.Settings.Name, Incarnation: specifier.Incarnation(rand.Uint64())}
 	a.self.Store(&identity)
 	a.Events.SetProcess(identity.String())
-	a.mailbox = mailer.NewMailbox[executor.Event](mailboxSize)
+	a.mailbox = looper.NewMailbox[executor.Event](mailboxSize)
 	a.links = &listener.Links{}
 	a.invoker = invoker.New(a.Settings.MaxConnections)
 	a.pool = &dialer.Pool{Credentials: a.Security.ClientCredentials(specifier.Controller, ""), MaxMessage: int(a.Settings.MaxMessage),
@@ -162,7 +162,7 @@
 	keeper := &loadKeeper{Executor: executor.New(a.Settings.MaxQueue, heldBytes)}
 	a.attender.Load = keeper.load.Load
 	machine := newMeter(keeper, a.Metrics)
-	loop := &mailer.Loop[executor.Event, executor.Action]{Machine: machine, Mailbox: a.mailbox, Perform: a.perform, Clock: time.Now}
+	loop := &looper.Loop[executor.Event, executor.Action]{Machine: machine, Mailbox: a.mailbox, Perform: a.perform, Clock: time.Now}
 	group.Go(func() error { return loop.Run(ctx) })
 	group.Go(func() error { return a.lease.Run(ctx) })
 	group.Go(func() error { return supervisor.Serve(a.web, a.announcements)(ctx) })
--- a/agent/runner/machine.go
+++ b/agent/runner/machine.go
@@ -2,12 +2,12 @@
 
 import (
 	"oleandertally/agent/executor"
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 	"oleandertally/core/specifier"
 )
 
 // machine is the executor, or what wraps it.
 type machine interface {
-	mailer.Machine[executor.Event, executor.Action]
+	looper.Machine[executor.Event, executor.Action]
 	Load() specifier.Load
 }
--- a/agent/tender/action.go
+++ b/agent/tender/action.go
@@ -3,12 +3,12 @@
 import (
 	"oleandertally/agent/leaseholder"
 	"oleandertally/core/encoder"
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 )
 
 // action is an output of the lease holder, or a waiter to release.
 type action struct {
 	control leaseholder.Action
-	box     *mailer.Outbox[*encoder.QueueReport]
+	box     *looper.Outbox[*encoder.QueueReport]
 	idle    chan<- struct{}
 }
--- a/agent/tender/machine.go
+++ b/agent/tender/machine.go
@@ -5,13 +5,13 @@
 
 	"oleandertally/agent/leaseholder"
 	"oleandertally/core/encoder"
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 )
 
 // machine adds the stream to the lease holder.
 type machine struct {
 	holder  *leaseholder.LeaseHolder
-	box     *mailer.Outbox[*encoder.QueueReport]
+	box     *looper.Outbox[*encoder.QueueReport]
 	waiting []chan<- struct{}
 }
 
--- a/agent/tender/tender.go
+++ b/agent/tender/tender.go
@@ -15,7 +15,7 @@
 	"oleandertally/agent/leaseholder"
 	"oleandertally/core/encoder"
 	"oleandertally/core/locator"
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 	"oleandertally/core/specifier"
 )
 
@@ -42,7 +42,7 @@
 	Log         zerolog.Logger
 	Noted       func(leaseholder.Note) // told of each decision; must not block; nil for nobody
 
-	mailbox *mailer.Mailbox[event]
+	mailbox *looper.Mailbox[event]
 	seeker  *locator.Seeker[*encoder.QueueOrder, *encoder.QueueReport]
 	calls   *errgroup.Group
 	ctx     context.Context
@@ -58,14 +58,14 @@
 	case t.GrantSpan <= 0, t.HoldMost <= 0:
 		return errors.New("tender: GrantSpan, HoldMost: expected more than 0")
 	}
-	t.mailbox = mailer.NewMailbox[event](mailboxSize)
+	t.mailbox = looper.NewMailbox[event](mailboxSize)
 	t.seeker = &locator.Seeker[*encoder.QueueOrder, *encoder.QueueReport]{
 		Seeds: t.Seeds, Credentials: t.Credentials, Silence: silence,
 		Open: func(ctx context.Context, conn *grpc.ClientConn) (locator.Stream[*encoder.QueueOrder, *encoder.QueueReport], error) {
 			return encoder.NewQueueKeeperClient(conn).Attend(ctx)
 		},
 		Welcome: (*encoder.QueueOrder).GetWelcome,
-		Linked: func(ctx context.Context, controller netip.AddrPort, box *mailer.Outbox[*encoder.QueueReport]) error {
+		Linked: func(ctx context.Context, controller netip.AddrPort, box *looper.Outbox[*encoder.QueueReport]) error {
 			t.Log.Info().Str("Event", "LeaderFound").Stringer("Controller", controller).Send()
 			return t.mailbox.Send(ctx, event{box: box})
 		},
@@ -89,7 +89,7 @@
 	t.calls, t.ctx = group, ctx
 	holder := &leaseholder.LeaseHolder{Name: t.Name, Incarnation: specifier.Incarnation(rand.Uint64()), GrantSpan: t.GrantSpan,
 		HoldMost: t.HoldMost, Began: t.Clock()}
-	loop := &mailer.Loop[event, action]{Machine: &machine{holder: holder}, Mailbox: t.mailbox, Perform: t.perform, Clock: t.Clock}
+	loop := &looper.Loop[event, action]{Machine: &machine{holder: holder}, Mailbox: t.mailbox, Perform: t.perform, Clock: t.Clock}
 	group.Go(func() error { return loop.Run(ctx) })
 	group.Go(func() error { return t.seeker.Run(ctx) })
 	return group.Wait()
--- a/controller/server/calls.go
+++ b/controller/server/calls.go
@@ -5,12 +5,12 @@
 	"sync"
 
 	"oleandertally/controller/driver"
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 )
 
 // calls ties the network's requests to the answers of the control loop.
 type calls[T any] struct {
-	mailbox *mailer.Mailbox[driver.Event]
+	mailbox *looper.Mailbox[driver.Event]
 
 	mutex   sync.Mutex
 	last    uint64
--- a/controller/server/controller.go
+++ b/controller/server/controller.go
@@ -20,7 +20,7 @@
 	"oleandertally/core/configurator"
 	"oleandertally/core/dialer"
 	"oleandertally/core/encoder"
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 	"oleandertally/core/operator"
 	"oleandertally/core/recorder"
 	"oleandertally/core/reporter"
@@ -66,7 +66,7 @@
 	Log            zerolog.Logger
 	Noted          func(dispatcher.Note) // told of each decision on queues; must not block; nil for nobody
 
-	mailbox       *mailer.Mailbox[driver.Event]
+	mailbox       *looper.Mailbox[driver.Event]
 	registry      *registry
 	queues        *queues
 	disk          *disk
@@ -127,7 +127,7 @@
 		c.Events = &recorder.Buffer{Cap: eventsKept, Clock: time.Now}
 	}
 	c.Events.SetProcess(specifier.Identity{Name: c.Name, Incarnation: specifier.Incarnation(rand.Uint64())}.String())
-	c.mailbox = mailer.NewMailbox[driver.Event](mailboxSize)
+	c.mailbox = looper.NewMailbox[driver.Event](mailboxSize)
 	c.registry = &registry{mailbox: c.mailbox, security: c.Security}
 	c.registry.last.Store(uint64(operatorStream))
 	c.queues = &queues{mailbox: c.mailbox}
@@ -190,7 +190,7 @@
 
 	group, ctx := errgroup.WithContext(ctx)
 	c.peers = &peers{group: group, ctx: ctx, pool: pool, disk: c.disk, mailbox: c.mailbox, settings: c.Peers, self: c.Addr, contacts: known}
-	loop := &mailer.Loop[driver.Event, driver.Action]{Machine: c.machine, Mailbox: c.mailbox, Perform: c.perform, Clock: c.Clock}
+	loop := &looper.Loop[driver.Event, driver.Action]{Machine: c.machine, Mailbox: c.mailbox, Perform: c.perform, Clock: c.Clock}
 	group.Go(func() error { return c.disk.run(ctx) })
 	group.Go(func() error { return c.disk.save(ctx) })
 	group.Go(func() error { return loop.Run(ctx) })
--- a/controller/server/disk.go
+++ b/controller/server/disk.go
@@ -11,7 +11,7 @@
 	"github.com/rs/zerolog"
 
 	"oleandertally/controller/driver"
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 	"oleandertally/state/journaler"
 	"oleandertally/state/replicator"
 	"oleandertally/state/snapshotter"
@@ -21,21 +21,21 @@
 // disk is the data folder of a controller. Its run goroutine performs the log's disk actions in order, and
 // all that wait while one sync runs share the next one.
 type disk struct {
-	mailbox *mailer.Mailbox[driver.Event]
+	mailbox *looper.Mailbox[driver.Event]
 	folder  folder
 	synced  func(time.Duration) // told how long each synced write took
 	journal *journaler.Journal
 	store   *snapshotter.Store
-	queue   *mailer.Outbox[driver.Action]
-	saves   *mailer.Outbox[driver.Action]
+	queue   *looper.Outbox[driver.Action]
+	saves   *looper.Outbox[driver.Action]
 
 	mutex    sync.Mutex // one of Save, Receive and Install at a time
 	received *snapshotter.Receiver
 }
 
 // openDisk reads the data folder and closes it after an error. It returns what the log recovers and the content of the newest snapshot.
-func openDisk(folder folder, log zerolog.Logger, mailbox *mailer.Mailbox[driver.Event]) (*disk, recovery, error) {
-	d := &disk{mailbox: mailbox, folder: folder, synced: func(time.Duration) {}, queue: mailer.NewOutbox[driver.Action](), saves: mailer.NewOutbox[driver.Action]()}
+func openDisk(folder folder, log zerolog.Logger, mailbox *looper.Mailbox[driver.Event]) (*disk, recovery, error) {
+	d := &disk{mailbox: mailbox, folder: folder, synced: func(time.Duration) {}, queue: looper.NewOutbox[driver.Action](), saves: looper.NewOutbox[driver.Action]()}
 	d.journal = &journaler.Journal{Folder: folder, Disk: rand.Uint64(), Log: log}
 	d.store = &snapshotter.Store{Folder: folder, Log: log}
 	recovered, err := d.recover()
--- a/controller/server/peer.go
+++ b/controller/server/peer.go
@@ -8,7 +8,7 @@
 	"github.com/cockroachdb/errors"
 
 	"oleandertally/core/dialer"
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 	"oleandertally/state/replicator"
 	"oleandertally/state/snapshotter"
 	"oleandertally/state/transporter"
@@ -27,7 +27,7 @@
 	addr netip.AddrPort
 	self netip.AddrPort // told to the peer, which may not know it
 	pool *dialer.Pool
-	box  *mailer.Outbox[replicator.Envelope]
+	box  *looper.Outbox[replicator.Envelope]
 }
 
 // run sends envelopes until ctx ends. What can't be sent is lost: the log resends it. A stream is
@@ -39,7 +39,7 @@
 			return err
 		}
 		if err := p.session(ctx, envelopes); err != nil && ctx.Err() == nil {
-			mailer.Pause(ctx, peerRedial)
+			looper.Pause(ctx, peerRedial)
 		}
 	}
 }
--- a/controller/server/peers.go
+++ b/controller/server/peers.go
@@ -8,7 +8,7 @@
 
 	"oleandertally/controller/driver"
 	"oleandertally/core/dialer"
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 	"oleandertally/state/replicator"
 )
 
@@ -18,7 +18,7 @@
 	ctx      context.Context
 	pool     *dialer.Pool
 	disk     *disk
-	mailbox  *mailer.Mailbox[driver.Event]
+	mailbox  *looper.Mailbox[driver.Event]
 	self     netip.AddrPort
 	contacts *contacts
 	settings []Peer              // addresses until the log tells them
@@ -48,7 +48,7 @@
 	}
 	target := p.open[addr]
 	if target == nil {
-		target = &peer{addr: addr, self: p.self, pool: p.pool, box: mailer.NewOutbox[replicator.Envelope]()}
+		target = &peer{addr: addr, self: p.self, pool: p.pool, box: looper.NewOutbox[replicator.Envelope]()}
 		if p.open == nil {
 			p.open = make(map[netip.AddrPort]*peer)
 		}
--- a/controller/server/queues.go
+++ b/controller/server/queues.go
@@ -14,7 +14,7 @@
 	"oleandertally/controller/dispatcher"
 	"oleandertally/controller/driver"
 	"oleandertally/core/encoder"
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 	"oleandertally/state/replicator"
 )
 
@@ -22,7 +22,7 @@
 type queues struct {
 	encoder.UnimplementedQueueKeeperServer
 
-	mailbox *mailer.Mailbox[driver.Event]
+	mailbox *looper.Mailbox[driver.Event]
 	last    atomic.Uint64
 	calls   streams[dispatcher.Stream, *encoder.QueueReplies]
 	attends streams[dispatcher.Stream, *encoder.QueueOrder]
@@ -143,7 +143,7 @@
 }
 
 // sendAll sends what the box holds until ctx ends. merge makes fewer messages of many.
-func sendAll[T any](ctx context.Context, box *mailer.Outbox[T], merge func([]T) []T, send func(T) error) error {
+func sendAll[T any](ctx context.Context, box *looper.Outbox[T], merge func([]T) []T, send func(T) error) error {
 	for {
 		items, err := box.Take(ctx)
 		if err != nil {
--- a/controller/server/registry.go
+++ b/controller/server/registry.go
@@ -12,7 +12,7 @@
 	"oleandertally/controller/sequencer"
 	"oleandertally/core/authenticator"
 	"oleandertally/core/encoder"
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 	"oleandertally/core/specifier"
 )
 
@@ -20,7 +20,7 @@
 type registry struct {
 	encoder.UnimplementedRegistryServer
 
-	mailbox  *mailer.Mailbox[driver.Event]
+	mailbox  *looper.Mailbox[driver.Event]
 	security *authenticator.Authenticator
 	last     atomic.Uint64
 	propose  streams[sequencer.Stream, *encoder.Verdict]
--- a/controller/server/replica.go
+++ b/controller/server/replica.go
@@ -9,7 +9,7 @@
 
 	"oleandertally/controller/driver"
 	"oleandertally/core/authenticator"
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 	"oleandertally/core/specifier"
 	"oleandertally/state/replicator"
 	"oleandertally/state/snapshotter"
@@ -20,7 +20,7 @@
 type replica struct {
 	transporter.UnimplementedReplicaServer
 
-	mailbox  *mailer.Mailbox[driver.Event]
+	mailbox  *looper.Mailbox[driver.Event]
 	disk     *disk
 	joins    *calls[driver.JoinAnswered]
 	security *authenticator.Authenticator
--- a/controller/server/streams.go
+++ b/controller/server/streams.go
@@ -3,22 +3,22 @@
 import (
 	"sync"
 
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 )
 
 // streams maps open streams, by the number that the control goroutine knows, to the queues of their sending goroutines.
 type streams[K comparable, T any] struct {
 	mutex sync.Mutex
-	boxes map[K]*mailer.Outbox[T]
+	boxes map[K]*looper.Outbox[T]
 }
 
-func (s *streams[K, T]) open(id K) *mailer.Outbox[T] {
+func (s *streams[K, T]) open(id K) *looper.Outbox[T] {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.boxes == nil {
-		s.boxes = make(map[K]*mailer.Outbox[T])
+		s.boxes = make(map[K]*looper.Outbox[T])
 	}
-	box := mailer.NewOutbox[T]()
+	box := looper.NewOutbox[T]()
 	s.boxes[id] = box
 	return box
 }
--- a/core/locator/seeker.go
+++ b/core/locator/seeker.go
@@ -16,7 +16,7 @@
 	"google.golang.org/grpc/credentials"
 
 	"oleandertally/core/encoder"
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 )
 
 const (
@@ -42,7 +42,7 @@
 	Open        func(ctx context.Context, conn *grpc.ClientConn) (Stream[In, Out], error)
 	Welcome     func(In) *encoder.QueueWelcome // nil for a message without one
 	Merge       func([]Out) []Out              // makes fewer messages of those that wait; nil for none
-	Linked      func(ctx context.Context, controller netip.AddrPort, box *mailer.Outbox[Out]) error
+	Linked      func(ctx context.Context, controller netip.AddrPort, box *looper.Outbox[Out]) error
 	Received    func(ctx context.Context, message In) error
 	Unlinked    func(ctx context.Context, cause error) error
 
@@ -61,7 +61,7 @@
 		if s.hasLeader() {
 			continue
 		}
-		mailer.Pause(ctx, time.Duration(rand.Int64N(int64(pauseMost))))
+		looper.Pause(ctx, time.Duration(rand.Int64N(int64(pauseMost))))
 	}
 	return context.Cause(ctx)
 }
@@ -135,7 +135,7 @@
 	}
 	s.setLinked(addr)
 	defer s.setLinked(netip.AddrPort{})
-	box := mailer.NewOutbox[Out]()
+	box := looper.NewOutbox[Out]()
 	if err := s.Linked(ctx, addr, box); err != nil {
 		return err
 	}
@@ -172,7 +172,7 @@
 	}
 }
 
-func (s *Seeker[In, Out]) send(ctx context.Context, stream Stream[In, Out], box *mailer.Outbox[Out]) error {
+func (s *Seeker[In, Out]) send(ctx context.Context, stream Stream[In, Out], box *looper.Outbox[Out]) error {
 	for {
 		items, err := box.Take(ctx)
 		if err != nil {
--- a/core/mailer/outbox.go
+++ b/core/looper/outbox.go
@@ -1,4 +1,4 @@
-package mailer
+package looper
 
 import (
 	"context"
--- a/core/mailer/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package mailer carries typed events to the one goroutine that owns a process's control state.
-package mailer
--- a/core/registrant/attender.go
+++ b/core/registrant/attender.go
@@ -12,7 +12,7 @@
 
 	"oleandertally/core/dialer"
 	"oleandertally/core/encoder"
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 	"oleandertally/core/specifier"
 )
 
@@ -71,7 +71,7 @@
 		if err != nil && ctx.Err() == nil {
 			a.Log.Debug().Err(err).Str("Peer", addr.String()).Msg("attendance ended")
 		}
-		mailer.Pause(ctx, time.Duration(rand.Int64N(int64(redialBound))))
+		looper.Pause(ctx, time.Duration(rand.Int64N(int64(redialBound))))
 	}
 	return context.Cause(ctx)
 }
--- a/core/registrant/departure.go
+++ b/core/registrant/departure.go
@@ -10,7 +10,7 @@
 
 	"oleandertally/core/dialer"
 	"oleandertally/core/encoder"
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 	"oleandertally/core/specifier"
 )
 
@@ -39,7 +39,7 @@
 			addr = d.Controllers[next]
 		}
 		last = err
-		mailer.Pause(ctx, time.Duration(rand.Int64N(int64(redialBound))))
+		looper.Pause(ctx, time.Duration(rand.Int64N(int64(redialBound))))
 	}
 	return errors.CombineErrors(context.Cause(ctx), last)
 }
--- a/entry/answerer/handler.go
+++ b/entry/answerer/handler.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"time"
 
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 	"oleandertally/core/specifier"
 	"oleandertally/entry/coordinator"
 )
@@ -19,7 +19,7 @@
 
 // Handler serves callers. Fields are set before use.
 type Handler struct {
-	Sink    *mailer.Mailbox[coordinator.Event]
+	Sink    *looper.Mailbox[coordinator.Event]
 	Waiters *Waiters
 	Clock   func() time.Time
 	// Admit returns an error for a stranger, by the headers alone.
--- a/entry/answerer/handler_test.go
+++ b/entry/answerer/handler_test.go
@@ -11,7 +11,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/shoenig/test/must"
 
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 	"oleandertally/core/specifier"
 	"oleandertally/entry/coordinator"
 )
@@ -31,7 +31,7 @@
 const submission = `{"Team":"web","Profile":"hold","TimeLeft":"1s","Tasks":[{"Id":"a","Payload":1}]}`
 
 func newHandler() *Handler {
-	return &Handler{Sink: mailer.NewMailbox[coordinator.Event](1), Waiters: &Waiters{}, Clock: time.Now, MaxBody: 1 << 10,
+	return &Handler{Sink: looper.NewMailbox[coordinator.Event](1), Waiters: &Waiters{}, Clock: time.Now, MaxBody: 1 << 10,
 		BodyTimeout: time.Minute, Requests: NewGate(1), Admit: func(*http.Request) error { return nil },
 		Authorize: func(*http.Request, string) error { return nil }, Refused: func(specifier.Answer) {}}
 }
--- a/entry/answerer/peer.go
+++ b/entry/answerer/peer.go
@@ -8,7 +8,7 @@
 	"google.golang.org/grpc/status"
 
 	"oleandertally/core/encoder"
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 	"oleandertally/entry/coordinator"
 )
 
@@ -16,7 +16,7 @@
 type Peer struct {
 	encoder.UnimplementedPeerServer
 
-	Sink    *mailer.Mailbox[coordinator.Event]
+	Sink    *looper.Mailbox[coordinator.Event]
 	Waiters *Waiters
 }
 
--- a/entry/linker/agents.go
+++ b/entry/linker/agents.go
@@ -10,7 +10,7 @@
 
 	"oleandertally/core/dialer"
 	"oleandertally/core/encoder"
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 	"oleandertally/core/specifier"
 )
 
@@ -75,4 +75,4 @@
 }
 
 // box is the queue of a link's present stream.
-type box = mailer.Outbox[*encoder.EntryMessage]
+type box = looper.Outbox[*encoder.EntryMessage]
--- a/entry/linker/link.go
+++ b/entry/linker/link.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"oleandertally/core/encoder"
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 	"oleandertally/core/specifier"
 	"oleandertally/entry/coordinator"
 )
@@ -32,7 +32,7 @@
 		if err := l.session(ctx); err != nil && ctx.Err() == nil {
 			l.agents.Log.Debug().Err(err).Str("Peer", l.member.Name).Msg("agent stream ended")
 		}
-		mailer.Pause(ctx, linkRedial)
+		looper.Pause(ctx, linkRedial)
 	}
 }
 
@@ -67,7 +67,7 @@
 	if err != nil {
 		return errors.Wrap(err, "link: greeting")
 	}
-	box := mailer.NewOutbox[*encoder.EntryMessage]()
+	box := looper.NewOutbox[*encoder.EntryMessage]()
 	l.setBox(box)
 	defer l.setBox(nil)
 	id := l.member.Identity
--- a/entry/linker/proposer.go
+++ b/entry/linker/proposer.go
@@ -15,7 +15,7 @@
 
 	"oleandertally/core/dialer"
 	"oleandertally/core/encoder"
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 	"oleandertally/core/specifier"
 	"oleandertally/entry/coordinator"
 )
@@ -85,7 +85,7 @@
 		if err != nil && ctx.Err() == nil {
 			p.Log.Info().Str("Event", "ProposalStreamEnded").Err(err).Stringer("Next", addr).Msg("proposals go to another controller")
 		}
-		mailer.Pause(ctx, time.Duration(rand.Int64N(int64(redialBound))))
+		looper.Pause(ctx, time.Duration(rand.Int64N(int64(redialBound))))
 	}
 	return context.Cause(ctx)
 }
--- a/entry/linker/proposer_test.go
+++ b/entry/linker/proposer_test.go
@@ -15,7 +15,7 @@
 
 	"oleandertally/core/dialer"
 	"oleandertally/core/encoder"
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 	"oleandertally/core/specifier"
 	"oleandertally/entry/coordinator"
 )
@@ -70,7 +70,7 @@
 	pool := &dialer.Pool{Credentials: insecure.NewCredentials()}
 	t.Cleanup(func() { pool.Close() })
 	p := NewProposer()
-	p.Controllers, p.Pool, p.Sink, p.Log = controllers, pool, mailer.NewMailbox[coordinator.Event](16), zerolog.Nop()
+	p.Controllers, p.Pool, p.Sink, p.Log = controllers, pool, looper.NewMailbox[coordinator.Event](16), zerolog.Nop()
 	ctx, cancel := context.WithTimeout(t.Context(), testBound)
 	defer cancel()
 	var group errgroup.Group
--- a/entry/linker/sink.go
+++ b/entry/linker/sink.go
@@ -3,12 +3,12 @@
 import (
 	"context"
 
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 	"oleandertally/entry/coordinator"
 )
 
 // Sink takes the events of the coordinator.
-type Sink = mailer.Mailbox[coordinator.Event]
+type Sink = looper.Mailbox[coordinator.Event]
 
 // deliver sends events in order and stops at the first that ctx cuts off.
 func deliver(ctx context.Context, sink *Sink, events ...coordinator.Event) error {
--- a/entry/requester/action.go
+++ b/entry/requester/action.go
@@ -2,12 +2,12 @@
 
 import (
 	"oleandertally/core/encoder"
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 )
 
 // action is a message for the stream to the leading controller, or the outcome of a call.
 type action struct {
-	box      *mailer.Outbox[*encoder.QueueCalls]
+	box      *looper.Outbox[*encoder.QueueCalls]
 	message  *encoder.QueueCalls
 	answered chan<- answer
 	answer   answer
--- a/entry/requester/linked.go
+++ b/entry/requester/linked.go
@@ -2,10 +2,10 @@
 
 import (
 	"oleandertally/core/encoder"
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 )
 
 // linked tells that there is a stream to a leading controller.
 type linked struct {
-	box *mailer.Outbox[*encoder.QueueCalls]
+	box *looper.Outbox[*encoder.QueueCalls]
 }
--- a/entry/requester/machine.go
+++ b/entry/requester/machine.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"oleandertally/core/encoder"
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 	"oleandertally/core/specifier"
 )
 
@@ -26,7 +26,7 @@
 	last    uint64
 	calls   map[uint64]*pending
 	callers map[chan<- answer]*pending
-	box     *mailer.Outbox[*encoder.QueueCalls] // nil without a stream
+	box     *looper.Outbox[*encoder.QueueCalls] // nil without a stream
 	lostAt  time.Time                           // since when there is no stream; zero with one
 	pingAt  time.Time
 	actions []action
--- a/entry/requester/machine_test.go
+++ b/entry/requester/machine_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 
 	"oleandertally/core/encoder"
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 	"oleandertally/core/specifier"
 )
 
@@ -16,7 +16,7 @@
 	t       *testing.T
 	machine *machine
 	now     time.Time
-	box     *mailer.Outbox[*encoder.QueueCalls]
+	box     *looper.Outbox[*encoder.QueueCalls]
 	sent    []*encoder.QueueCall
 	answers map[chan<- answer]answer
 }
@@ -43,7 +43,7 @@
 }
 
 func (d *desk) link() {
-	d.box = mailer.NewOutbox[*encoder.QueueCalls]()
+	d.box = looper.NewOutbox[*encoder.QueueCalls]()
 	d.step(linked{d.box})
 }
 
--- a/entry/requester/requester.go
+++ b/entry/requester/requester.go
@@ -11,7 +11,7 @@
 
 	"oleandertally/core/encoder"
 	"oleandertally/core/locator"
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 	"oleandertally/core/specifier"
 )
 
@@ -28,13 +28,13 @@
 	// Changed is told when a leading controller is found or lost; it must not block.
 	Changed func(controller netip.AddrPort, cause error)
 
-	mailbox *mailer.Mailbox[event]
+	mailbox *looper.Mailbox[event]
 	seeker  *locator.Seeker[*encoder.QueueReplies, *encoder.QueueCalls]
 }
 
 // Open prepares the requester for calls, which wait until it runs.
 func (r *Requester) Open() {
-	r.mailbox = mailer.NewMailbox[event](mailboxSize)
+	r.mailbox = looper.NewMailbox[event](mailboxSize)
 	r.seeker = &locator.Seeker[*encoder.QueueReplies, *encoder.QueueCalls]{
 		Seeds: r.Seeds, Credentials: r.Credentials, Silence: silence,
 		Open: func(ctx context.Context, conn *grpc.ClientConn) (locator.Stream[*encoder.QueueReplies, *encoder.QueueCalls], error) {
@@ -42,7 +42,7 @@
 		},
 		Welcome: (*encoder.QueueReplies).GetWelcome,
 		Merge:   merge,
-		Linked: func(ctx context.Context, controller netip.AddrPort, box *mailer.Outbox[*encoder.QueueCalls]) error {
+		Linked: func(ctx context.Context, controller netip.AddrPort, box *looper.Outbox[*encoder.QueueCalls]) error {
 			r.Changed(controller, nil)
 			return r.mailbox.Send(ctx, linked{box})
 		},
@@ -59,7 +59,7 @@
 // Run passes calls on until ctx ends. Open comes first.
 func (r *Requester) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	loop := &mailer.Loop[event, action]{Machine: newMachine(), Mailbox: r.mailbox, Perform: perform, Clock: r.Clock}
+	loop := &looper.Loop[event, action]{Machine: newMachine(), Mailbox: r.mailbox, Perform: perform, Clock: r.Clock}
 	group.Go(func() error { return loop.Run(ctx) })
 	group.Go(func() error { return r.seeker.Run(ctx) })
 	return group.Wait()
--- a/entry/runner/entry.go
+++ b/entry/runner/entry.go
@@ -19,7 +19,7 @@
 	"oleandertally/core/configurator"
 	"oleandertally/core/dialer"
 	"oleandertally/core/encoder"
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 	"oleandertally/core/operator"
 	"oleandertally/core/recorder"
 	"oleandertally/core/registrant"
@@ -65,7 +65,7 @@
 
 	self     atomic.Pointer[specifier.Identity]
 	needs    atomic.Pointer[[]specifier.ServiceShare]
-	mailbox  *mailer.Mailbox[coordinator.Event]
+	mailbox  *looper.Mailbox[coordinator.Event]
 	drained  chan struct{}
 	waiters  *answerer.Waiters
 	proposer *linker.Proposer
@@ -100,7 +100,7 @@
 	identity := specifier.Identity{Name: e.Settings.Name, Incarnation: specifier.Incarnation(rand.Uint64())}
 	e.self.Store(&identity)
 	e.Events.SetProcess(identity.String())
-	e.mailbox = mailer.NewMailbox[coordinator.Event](mailboxSize)
+	e.mailbox = looper.NewMailbox[coordinator.Event](mailboxSize)
 	e.drained = make(chan struct{}, 1)
 	e.leave, e.attended = make(chan struct{}), make(chan struct{})
 	e.waiters = &answerer.Waiters{}
@@ -148,7 +148,7 @@
 	e.connect(group, ctx)
 	machine := newMeter(coordinator.New(e.Settings.Limits.MaxJobs, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		&scheduler.Scheduler{Zone: e.Settings.Zone, Seed: rand.Uint64()}), e.Metrics)
-	loop := &mailer.Loop[coordinator.Event, coordinator.Action]{Machine: machine, Mailbox: e.mailbox, Perform: e.perform, Clock: time.Now}
+	loop := &looper.Loop[coordinator.Event, coordinator.Action]{Machine: machine, Mailbox: e.mailbox, Perform: e.perform, Clock: time.Now}
 	group.Go(func() error { return loop.Run(ctx) })
 	group.Go(func() error { return e.proposer.Run(ctx) })
 	group.Go(func() error { return e.lease.Run(ctx) })
--- a/local/assembler/site.go
+++ b/local/assembler/site.go
@@ -20,7 +20,7 @@
 	"oleandertally/core/configurator"
 	"oleandertally/core/dialer"
 	"oleandertally/core/encoder"
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 	"oleandertally/core/recorder"
 	"oleandertally/core/reporter"
 	"oleandertally/core/specifier"
@@ -217,7 +217,7 @@
 	defer cancel()
 	pool := &dialer.Pool{Credentials: insecure.NewCredentials()}
 	defer pool.Close()
-	sink := mailer.NewMailbox[coordinator.Event](1)
+	sink := looper.NewMailbox[coordinator.Event](1)
 	proposer := linker.NewProposer()
 	proposer.Pool, proposer.Sink, proposer.Log = pool, sink, s.Log
 	for c := range s.Controllers {
--- a/state/journaler/bench_test.go
+++ b/state/journaler/bench_test.go
@@ -12,7 +12,7 @@
 	"github.com/shoenig/test/must"
 	"golang.org/x/sync/errgroup"
 
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 )
 
 // batchSize is about one encoded batch with a single AcceptJob.
@@ -46,7 +46,7 @@
 	must.NoError(b, err)
 	defer bare.Close()
 	done := make(chan uint64, 1)
-	syncer := &Syncer{Journal: journal, Queue: mailer.NewOutbox[Request](), Report: func(write uint64) { done <- write }}
+	syncer := &Syncer{Journal: journal, Queue: looper.NewOutbox[Request](), Report: func(write uint64) { done <- write }}
 	var group errgroup.Group
 	group.Go(func() error { return syncer.Run(b.Context()) })
 	data := make([]byte, batchSize)
@@ -72,7 +72,7 @@
 		b.Run(fmt.Sprintf("group/%d", flight), func(b *testing.B) {
 			journal := openDisk(b)
 			done := make(chan uint64, flight)
-			syncer := &Syncer{Journal: journal, Queue: mailer.NewOutbox[Request](), Report: func(write uint64) { done <- write }}
+			syncer := &Syncer{Journal: journal, Queue: looper.NewOutbox[Request](), Report: func(write uint64) { done <- write }}
 			var group errgroup.Group
 			group.Go(func() error { return syncer.Run(b.Context()) })
 			data := make([]byte, batchSize)
--- a/state/journaler/syncer.go
+++ b/state/journaler/syncer.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 )
 
 // Syncer commits requests on a goroutine of its own. Everything that waits while one sync runs
@@ -12,7 +12,7 @@
 	Journal *Journal
 	// Report is told the number of the last request that survives a crash, on the goroutine of Run.
 	Report func(write uint64)
-	Queue  *mailer.Outbox[Request]
+	Queue  *looper.Outbox[Request]
 }
 
 // Run returns the context's error when ctx ends and ErrFailed when the journal fails; the
--- a/state/journaler/syncer_test.go
+++ b/state/journaler/syncer_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 	"golang.org/x/sync/errgroup"
 
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 )
 
 // run commits the requests and returns what was reported, and why the syncer ended.
@@ -19,7 +19,7 @@
 	defer cancel()
 	var reported []uint64
 	last := requests[len(requests)-1].Write
-	syncer := &Syncer{Journal: journal, Queue: mailer.NewOutbox[Request](), Report: func(write uint64) {
+	syncer := &Syncer{Journal: journal, Queue: looper.NewOutbox[Request](), Report: func(write uint64) {
 		reported = append(reported, write)
 		if write == last {
 			cancel()
@@ -51,7 +51,7 @@
 	folder := newFakeFolder()
 	journal, _ := open(t, folder, 0)
 	folder.failSync = syscall.EIO
-	syncer := &Syncer{Journal: journal, Queue: mailer.NewOutbox[Request](),
+	syncer := &Syncer{Journal: journal, Queue: looper.NewOutbox[Request](),
 		Report: func(uint64) { t.Error("reported after a failed sync") }}
 	syncer.Queue.Put(Request{1, records(1, 1, 1)})
 	err := syncer.Run(t.Context())
--- a/state/replicator/check_test.go
+++ b/state/replicator/check_test.go
@@ -7,10 +7,10 @@
 
 	"github.com/shoenig/test/must"
 
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 )
 
-var _ mailer.Machine[Event, Action] = (*Node)(nil)
+var _ looper.Machine[Event, Action] = (*Node)(nil)
 
 // Guards against settings and data folders that break the rules of the lease or the log.
 func TestCheckNamesTheField(t *testing.T) {
--- a/state/replicator/doc.go
+++ b/state/replicator/doc.go
@@ -1,11 +1,11 @@
 // Package replicator is the consensus of the controllers: a replicated log as a pure state machine.
 //
 // An adapter owns one Node, sets its exported fields from the data folder and the settings, calls
-// Check, and runs it as a mailer.Machine. The first event is Started:
+// Check, and runs it as a looper.Machine. The first event is Started:
 //
 //	node := &replicator.Node{Self: self, Settings: replicator.Defaults(), Recovered: recovered, Random: random}
 //	if err := node.Check(); err != nil { ... }
-//	loop := mailer.Loop[replicator.Event, replicator.Action]{Machine: node, Mailbox: mailbox, Perform: perform, Clock: time.Now}
+//	loop := looper.Loop[replicator.Event, replicator.Action]{Machine: node, Mailbox: mailbox, Perform: perform, Clock: time.Now}
 //	mailbox.Send(ctx, replicator.Started{})
 //
 // Perform handles the actions in the order in which they are returned and never blocks:
--- a/state/replicator/node.go
+++ b/state/replicator/node.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Node is one server. It implements mailer.Machine and is used by one goroutine. Exported fields are set
+// Node is one server. It implements looper.Machine and is used by one goroutine. Exported fields are set
 // before the first event; Check verifies them.
 type Node struct {
 	Self      ServerID
