--- a/agent/executor/executor.go
+++ b/agent/executor/executor.go
@@ -4,7 +4,7 @@
 	"net/netip"
 	"time"
 
-	"oleandertally/core/collector"
+	"oleandertally/core/container"
 	"oleandertally/core/recorder"
 	"oleandertally/core/specifier"
 	"oleandertally/dispatch/classifier"
@@ -24,7 +24,7 @@
 	learned   classifier.Classifier
 	reports   orderer.Reporter[specifier.Identity]
 	profiles  map[string]specifier.Profile
-	expiring  collector.Heap[expiry]
+	expiring  container.Heap[expiry]
 	links     map[specifier.Identity]uint64
 	upstream  netip.AddrPort
 	slots     int       // 0 while the upstream is absent
@@ -43,7 +43,7 @@
 		QueueBound: queueBound,
 		HeldBytes:  heldBytes,
 		jobs:       make(map[specifier.JobID]*holding),
-		expiring:   collector.Heap[expiry]{Less: expiry.less},
+		expiring:   container.Heap[expiry]{Less: expiry.less},
 		links:      make(map[specifier.Identity]uint64),
 	}
 }
--- a/controller/dispatcher/dispatcher.go
+++ b/controller/dispatcher/dispatcher.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"oleandertally/core/collector"
+	"oleandertally/core/container"
 	"oleandertally/core/specifier"
 	"oleandertally/state/keeper"
 )
@@ -34,7 +34,7 @@
 	orphans  map[string]*run // newest run of a task that no job claims, by task name
 	finished map[string]specifier.RunEnd
 	ready    readyQueue
-	timers   collector.Heap[timer]
+	timers   container.Heap[timer]
 	puts     map[uint64][]waiter // by version of the manifest
 	order    map[*holder]*specifier.LeaseOrder
 	ordered  []*holder
--- a/controller/dispatcher/leadership.go
+++ b/controller/dispatcher/leadership.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"oleandertally/core/collector"
+	"oleandertally/core/container"
 	"oleandertally/core/specifier"
 )
 
@@ -20,7 +20,7 @@
 	d.named = nil
 	d.orphans, d.finished = make(map[string]*run), make(map[string]specifier.RunEnd)
 	d.ready, d.waiting = readyQueue{}, 0
-	d.timers = collector.Heap[timer]{Less: earlier}
+	d.timers = container.Heap[timer]{Less: earlier}
 	d.puts, d.order = make(map[uint64][]waiter), make(map[*holder]*specifier.LeaseOrder)
 	d.ordered, d.unrecorded = nil, nil
 }
--- a/controller/sequencer/sequencer.go
+++ b/controller/sequencer/sequencer.go
@@ -7,7 +7,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"oleandertally/core/collector"
+	"oleandertally/core/container"
 	"oleandertally/core/specifier"
 	"oleandertally/dispatch/limiter"
 	"oleandertally/state/registrar"
@@ -48,7 +48,7 @@
 	advanced  time.Time // when the last batch was stamped
 	attending map[Stream]*attendant
 	leases    map[specifier.Identity]time.Time
-	expiring  collector.Heap[lease]              // every grant, also those that were renewed since
+	expiring  container.Heap[lease]              // every grant, also those that were renewed since
 	ending    map[specifier.Identity]bool        // EndMember is on its way
 	lessors   map[string]*limiter.Lessor[string] // by service
 	changes   []change
@@ -64,7 +64,7 @@
 		logged:    make(map[uint64]loggedBatch),
 		attending: make(map[Stream]*attendant),
 		leases:    make(map[specifier.Identity]time.Time),
-		expiring:  collector.Heap[lease]{Less: lease.less},
+		expiring:  container.Heap[lease]{Less: lease.less},
 		ending:    make(map[specifier.Identity]bool),
 		lessors:   make(map[string]*limiter.Lessor[string]),
 		complete:  state.MemberVersion(),
--- a/core/collector/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package collector holds generic containers.
-package collector
--- /dev/null
+++ b/core/container/doc.go
@@ -0,0 +1,2 @@
+// Package container holds generic containers.
+package container
--- a/core/collector/heap.go
+++ b/core/container/heap.go
@@ -1,4 +1,4 @@
-package collector
+package container
 
 // Heap is a binary heap. Less is set before use and must be a strict order without ties
 // for the pop order to be deterministic.
--- a/core/collector/interner.go
+++ b/core/container/interner.go
@@ -1,4 +1,4 @@
-package collector
+package container
 
 // Interner stores each distinct value once and counts its uses, so that many records can refer
 // to it by a small number. The zero value of T has number 0 and is not counted.
--- a/core/collector/interner_test.go
+++ b/core/container/interner_test.go
@@ -1,4 +1,4 @@
-package collector
+package container
 
 import (
 	"testing"
--- a/core/collector/queue.go
+++ b/core/container/queue.go
@@ -1,4 +1,4 @@
-package collector
+package container
 
 // Queue is first in, first out, with constant amortized cost.
 type Queue[T any] struct {
--- a/core/collector/ring.go
+++ b/core/container/ring.go
@@ -1,4 +1,4 @@
-package collector
+package container
 
 // Ring keeps the last Cap items. Cap is set before use.
 type Ring[T any] struct {
--- a/core/merger/order.go
+++ b/core/merger/order.go
@@ -1,7 +1,7 @@
 package merger
 
 import (
-	"oleandertally/core/collector"
+	"oleandertally/core/container"
 )
 
 // order is a topological sort in which the earliest ready entry goes first. Entries are sorted
@@ -12,7 +12,7 @@
 	waits   []int   // causes that are not placed yet
 	placed  []bool
 	queued  []bool
-	ready   collector.Heap[int]
+	ready   container.Heap[int]
 	broken  int
 }
 
--- a/core/operator/history.go
+++ b/core/operator/history.go
@@ -1,7 +1,7 @@
 package operator
 
 import (
-	"oleandertally/core/collector"
+	"oleandertally/core/container"
 	"oleandertally/core/specifier"
 )
 
@@ -9,7 +9,7 @@
 // revision. Cap is set before use; one goroutine uses it.
 type History struct {
 	Cap  int // revisions kept
-	ring collector.Ring[specifier.Configuration]
+	ring container.Ring[specifier.Configuration]
 }
 
 // Add keeps configuration, which must not change afterwards. One that is not newer than the
--- a/core/recorder/buffer.go
+++ b/core/recorder/buffer.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"oleandertally/core/collector"
+	"oleandertally/core/container"
 )
 
 // Buffer keeps the newest events of one process. Fields are set before use; it is safe for
@@ -16,7 +16,7 @@
 	Clock   func() time.Time
 
 	mutex    sync.Mutex
-	ring     collector.Ring[Event]
+	ring     container.Ring[Event]
 	sequence uint64
 }
 
--- a/dispatch/scheduler/engine.go
+++ b/dispatch/scheduler/engine.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"oleandertally/core/collector"
+	"oleandertally/core/container"
 	"oleandertally/core/specifier"
 	"oleandertally/dispatch/admitter"
 	"oleandertally/dispatch/classifier"
@@ -34,7 +34,7 @@
 	teams      map[string]specifier.Team
 	ejector    ejector.Ejector[breaker, *breaker]
 	retrier    retrier.Retrier
-	delayed    collector.Heap[delayed]
+	delayed    container.Heap[delayed]
 	ejected    []specifier.Identity
 	lastShort  time.Time
 	refreshed  time.Time
--- a/dispatch/scheduler/engine_test.go
+++ b/dispatch/scheduler/engine_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 	"pgregory.net/rapid"
 
-	"oleandertally/core/collector"
+	"oleandertally/core/container"
 	"oleandertally/core/specifier"
 	"oleandertally/dispatch/orderer"
 )
@@ -237,7 +237,7 @@
 	for i := range 40 {
 		s.Enqueue(now, items(fmt.Sprint(i), 250))
 	}
-	held := &collector.Queue[Assignment]{}
+	held := &container.Queue[Assignment]{}
 	place := func() {
 		for _, sent := range s.Dispatch(now) {
 			held.Push(sent)
--- a/dispatch/scheduler/pool.go
+++ b/dispatch/scheduler/pool.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"oleandertally/core/collector"
+	"oleandertally/core/container"
 	"oleandertally/dispatch/limiter"
 )
 
@@ -13,7 +13,7 @@
 type pool struct {
 	zones   []*zone  // by name
 	agents  []*agent // by identity
-	waiting [lanes]collector.Heap[*task]
+	waiting [lanes]container.Heap[*task]
 	queued  [lanes]int           // without those of forgotten jobs
 	work    [lanes]time.Duration // expected run time of the queued tasks
 	held    int                  // tasks that agents hold for this entry
--- a/entry/coordinator/coordinator.go
+++ b/entry/coordinator/coordinator.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"time"
 
-	"oleandertally/core/collector"
+	"oleandertally/core/container"
 	"oleandertally/core/recorder"
 	"oleandertally/core/specifier"
 	"oleandertally/dispatch/scheduler"
@@ -32,8 +32,8 @@
 	self          specifier.Identity
 	jobs          map[specifier.JobID]*job
 	cancels       map[specifier.JobID][]Waiter     // wait for CancelJob
-	settledJobs   collector.Queue[specifier.JobID] // answered and recorded, oldest first
-	timers        collector.Heap[timer]
+	settledJobs   container.Queue[specifier.JobID] // answered and recorded, oldest first
+	timers        container.Heap[timer]
 	configuration specifier.Configuration
 	agents        map[specifier.Identity]specifier.Member // Up or Draining
 	memberVersion uint64
@@ -53,7 +53,7 @@
 		Scheduler: scheduler,
 		jobs:      make(map[specifier.JobID]*job),
 		cancels:   make(map[specifier.JobID][]Waiter),
-		timers:    collector.Heap[timer]{Less: timer.less},
+		timers:    container.Heap[timer]{Less: timer.less},
 		agents:    make(map[specifier.Identity]specifier.Member),
 		linked:    make(map[specifier.Identity]bool),
 		leaving:   make(map[specifier.Identity]bool),
--- a/local/prover/world_test.go
+++ b/local/prover/world_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"oleandertally/controller/dispatcher"
-	"oleandertally/core/collector"
+	"oleandertally/core/container"
 	"oleandertally/core/specifier"
 	"oleandertally/state/keeper"
 )
@@ -36,7 +36,7 @@
 	seed    uint64
 	random  *rand.Rand
 	now     time.Time
-	next    collector.Heap[occurrence]
+	next    container.Heap[occurrence]
 	counted int
 	faults  bool
 	leaders []*fakeLeader
@@ -52,7 +52,7 @@
 }
 
 func newWorld(t *testing.T, seed uint64) *world {
-	w := &world{t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1_000_000, 0), next: collector.Heap[occurrence]{Less: sooner},
+	w := &world{t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1_000_000, 0), next: container.Heap[occurrence]{Less: sooner},
 		faults: true, leading: -1, running: make(map[string]*workerRun), noted: make(map[string]bool), started: make(map[string]bool)}
 	for i := range controllers {
 		l := &fakeLeader{world: w, index: i}
--- a/local/transcriber/session.go
+++ b/local/transcriber/session.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"oleandertally/core/collector"
+	"oleandertally/core/container"
 	"oleandertally/core/merger"
 	"oleandertally/core/recorder"
 	"oleandertally/core/specifier"
@@ -25,7 +25,7 @@
 type Session struct {
 	site    Site
 	now     time.Time
-	moments collector.Heap[moment]
+	moments container.Heap[moment]
 	last    uint64 // of moments, waiters, incarnations, links and log indexes
 	state   *registrar.Registrar
 	version uint64
@@ -42,7 +42,7 @@
 // New starts every process of a site at nine o'clock.
 func New(site Site) *Session {
 	s := &Session{site: site, now: time.Date(2026, 5, 4, 9, 0, 0, 0, time.UTC), state: registrar.New(maxSubmissions),
-		moments: collector.Heap[moment]{Less: moment.before}, counts: make(map[string]uint64),
+		moments: container.Heap[moment]{Less: moment.before}, counts: make(map[string]uint64),
 		repeatable: make(map[specifier.JobID]bool)}
 	s.apply(specifier.ChangeConfiguration{RequestID: "first", Operator: "setup", Profiles: site.Profiles})
 	for i, zone := range site.Zones {
--- a/replay/player/bound.go
+++ b/replay/player/bound.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"oleandertally/core/collector"
+	"oleandertally/core/container"
 	"oleandertally/replay/tracer"
 )
 
@@ -29,7 +29,7 @@
 	trace  tracer.Trace
 	report *Report
 	time   *timeline
-	heap   collector.Heap[known]
+	heap   container.Heap[known]
 	free   int
 	left   []int         // unfinished tasks of each job
 	work   time.Duration // run time of the tasks that wait
--- a/replay/player/timeline.go
+++ b/replay/player/timeline.go
@@ -3,14 +3,14 @@
 import (
 	"time"
 
-	"oleandertally/core/collector"
+	"oleandertally/core/container"
 )
 
 // timeline runs functions at their times; those of one time in the order in which they were added.
 type timeline struct {
 	now   time.Time
 	count int
-	heap  collector.Heap[moment]
+	heap  container.Heap[moment]
 }
 
 // moment is one scheduled function.
--- a/state/registrar/registrar.go
+++ b/state/registrar/registrar.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"oleandertally/core/collector"
+	"oleandertally/core/container"
 	"oleandertally/core/specifier"
 )
 
@@ -16,9 +16,9 @@
 	now           time.Time // the log's clock, from time.Unix(0, 0)
 	index         uint64
 	submissions   map[specifier.JobID]submission
-	owners        collector.Interner[specifier.Identity]
-	answers       collector.Interner[answer]
-	expiring      collector.Heap[expiry]
+	owners        container.Interner[specifier.Identity]
+	answers       container.Interner[answer]
+	expiring      container.Heap[expiry]
 	members       map[string]specifier.Member
 	memberVersion uint64
 	departed      departures
@@ -34,7 +34,7 @@
 		MaxSubmissions: maxSubmissions,
 		now:            time.Unix(0, 0),
 		submissions:    make(map[specifier.JobID]submission),
-		expiring:       collector.Heap[expiry]{Less: expiry.less},
+		expiring:       container.Heap[expiry]{Less: expiry.less},
 		members:        make(map[string]specifier.Member),
 		draining:       make(map[string]bool),
 		requests:       requests{byID: make(map[string]request)},
