--- a/agent/main.go
+++ b/agent/main.go
@@ -19,9 +19,9 @@
 	"oleandertally/agent/runner"
 	"oleandertally/core/authenticator"
 	"oleandertally/core/configurator"
+	"oleandertally/core/exporter"
 	"oleandertally/core/launcher"
 	"oleandertally/core/recorder"
-	"oleandertally/core/reporter"
 	"oleandertally/core/specifier"
 	"oleandertally/core/supervisor"
 )
@@ -64,7 +64,7 @@
 	if err != nil {
 		return errors.Mark(err, launcher.ErrSettings)
 	}
-	metrics, health := reporter.NewAgent(), supervisor.NewHealth(runner.Conditions()...)
+	metrics, health := exporter.NewAgent(), supervisor.NewHealth(runner.Conditions()...)
 	agent := &runner.Agent{Settings: settings, Security: security, Metrics: metrics, Health: health, Log: log,
 		Events: &recorder.Buffer{Cap: eventsKept, Clock: time.Now}}
 	launched := &launcher.Launcher{Process: settings.ProcessSettings, Program: agent, Health: health, Metrics: metrics.Handler(),
--- a/agent/runner/agent.go
+++ b/agent/runner/agent.go
@@ -21,11 +21,11 @@
 	"oleandertally/core/configurator"
 	"oleandertally/core/dialer"
 	"oleandertally/core/encoder"
+	"oleandertally/core/exporter"
 	"oleandertally/core/looper"
 	"oleandertally/core/operator"
 	"oleandertally/core/recorder"
 	"oleandertally/core/registrant"
-	"oleandertally/core/reporter"
 	"oleandertally/core/specifier"
 	"oleandertally/core/supervisor"
 )
@@ -57,7 +57,7 @@
 	Settings configurator.AgentSettings
 	Security *authenticator.Authenticator
 	Events   *recorder.Buffer // its Process is set to the identity of each run
-	Metrics  *reporter.Agent
+	Metrics  *exporter.Agent
 	Health   *supervisor.Health
 	Log      zerolog.Logger
 
@@ -104,7 +104,7 @@
 	a.links = &listener.Links{}
 	a.invoker = invoker.New(a.Settings.MaxConnections)
 	a.pool = &dialer.Pool{Credentials: a.Security.ClientCredentials(specifier.Controller, ""), MaxMessage: int(a.Settings.MaxMessage),
-		Stats: []stats.Handler{&reporter.Bytes{Member: a.Metrics.Member}}}
+		Stats: []stats.Handler{&exporter.Bytes{Member: a.Metrics.Member}}}
 	a.ended, a.left = make(chan struct{}), make(chan struct{})
 	a.leave, a.attended = make(chan struct{}), make(chan struct{})
 	a.Health.Probe = a.probe
--- a/agent/runner/agent_test.go
+++ b/agent/runner/agent_test.go
@@ -13,9 +13,9 @@
 
 	"oleandertally/core/authenticator"
 	"oleandertally/core/configurator"
+	"oleandertally/core/exporter"
 	"oleandertally/core/recorder"
 	"oleandertally/core/registrant"
-	"oleandertally/core/reporter"
 	"oleandertally/core/specifier"
 	"oleandertally/core/supervisor"
 )
@@ -35,7 +35,7 @@
 	security, err := authenticator.New(configurator.SecuritySettings{Insecure: true}, authenticator.Peer{}, time.Now, func(error) {})
 	must.NoError(t, err)
 	agent := &Agent{Settings: settings, Security: security, Events: &recorder.Buffer{Cap: 10, Clock: time.Now},
-		Metrics: reporter.NewAgent(), Health: supervisor.NewHealth(Conditions()...)}
+		Metrics: exporter.NewAgent(), Health: supervisor.NewHealth(Conditions()...)}
 	must.NoError(t, agent.Open())
 	ctx, cancel := context.WithCancel(context.Background())
 	var group errgroup.Group
--- a/agent/runner/measured.go
+++ b/agent/runner/measured.go
@@ -3,13 +3,13 @@
 import (
 	"time"
 
-	"oleandertally/core/reporter"
+	"oleandertally/core/exporter"
 )
 
 // measured is what a meter remembers of a task that is queued or running.
 type measured struct {
 	profile string
-	class   reporter.Class // as learned when it was queued
+	class   exporter.Class // as learned when it was queued
 	queued  time.Time
 	started time.Time
 }
--- a/agent/runner/meter.go
+++ b/agent/runner/meter.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"oleandertally/agent/executor"
+	"oleandertally/core/exporter"
 	"oleandertally/core/recorder"
-	"oleandertally/core/reporter"
 	"oleandertally/core/specifier"
 	"oleandertally/dispatch/classifier"
 )
@@ -13,15 +13,15 @@
 // meter counts what passes through the executor. It runs on the control goroutine and does not block.
 type meter struct {
 	machine machine
-	metrics *reporter.Agent
+	metrics *exporter.Agent
 
 	tasks      map[specifier.TaskKey]measured // queued or running
-	queued     map[reporter.Class]int
+	queued     map[exporter.Class]int
 	classifier classifier.Classifier
 }
 
-func newMeter(machine machine, metrics *reporter.Agent) *meter {
-	return &meter{machine: machine, metrics: metrics, tasks: make(map[specifier.TaskKey]measured), queued: make(map[reporter.Class]int)}
+func newMeter(machine machine, metrics *exporter.Agent) *meter {
+	return &meter{machine: machine, metrics: metrics, tasks: make(map[specifier.TaskKey]measured), queued: make(map[exporter.Class]int)}
 }
 
 // Step handles one event.
@@ -75,7 +75,7 @@
 		case executor.Note:
 			m.noted(now, action.Event)
 		case executor.Refused:
-			m.metrics.Refused(reporter.Cause(action.Cause))
+			m.metrics.Refused(exporter.Cause(action.Cause))
 		}
 	}
 	load := m.machine.Load()
@@ -115,11 +115,11 @@
 	}
 }
 
-func (m *meter) count(class reporter.Class, change int) {
+func (m *meter) count(class exporter.Class, change int) {
 	m.queued[class] += change
 	m.metrics.SetQueued(class, m.queued[class])
 }
 
-var classes = map[classifier.Class]reporter.Class{
-	classifier.Short: reporter.Short, classifier.Medium: reporter.Medium, classifier.Long: reporter.Long,
+var classes = map[classifier.Class]exporter.Class{
+	classifier.Short: exporter.Short, classifier.Medium: exporter.Medium, classifier.Long: exporter.Long,
 }
--- a/agent/runner/meter_test.go
+++ b/agent/runner/meter_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 
 	"oleandertally/agent/executor"
-	"oleandertally/core/reporter"
+	"oleandertally/core/exporter"
 	"oleandertally/core/specifier"
 )
 
@@ -21,7 +21,7 @@
 }
 
 func newMetered() *metered {
-	m := &metered{meter: newMeter(executor.New(1, 1<<20), reporter.NewAgent()), now: time.Date(2026, 5, 4, 9, 0, 0, 0, time.UTC)}
+	m := &metered{meter: newMeter(executor.New(1, 1<<20), exporter.NewAgent()), now: time.Date(2026, 5, 4, 9, 0, 0, 0, time.UTC)}
 	m.step(executor.Leased{Until: m.now.Add(time.Hour)})
 	m.step(executor.UpstreamUp{Addr: netip.MustParseAddrPort("127.0.0.1:1"), Slots: 1, Until: m.now.Add(time.Hour)})
 	m.step(executor.Linked{Entry: entry, Link: 1})
--- a/controller/run.go
+++ b/controller/run.go
@@ -13,8 +13,8 @@
 	"oleandertally/controller/server"
 	"oleandertally/core/authenticator"
 	"oleandertally/core/configurator"
+	"oleandertally/core/exporter"
 	"oleandertally/core/launcher"
-	"oleandertally/core/reporter"
 	"oleandertally/core/specifier"
 	"oleandertally/core/supervisor"
 )
@@ -57,7 +57,7 @@
 	}
 	controller := server.FromSettings(settings)
 	controller.Bootstrap, controller.Security, controller.Log = bootstrap, security, log
-	controller.Metrics, controller.Health = reporter.NewController(), supervisor.NewHealth(server.Conditions()...)
+	controller.Metrics, controller.Health = exporter.NewController(), supervisor.NewHealth(server.Conditions()...)
 	controller.Health.Probe = controller.Probe
 	return controller, nil
 }
--- a/controller/server/cluster_test.go
+++ b/controller/server/cluster_test.go
@@ -22,8 +22,8 @@
 	"oleandertally/core/configurator"
 	"oleandertally/core/dialer"
 	"oleandertally/core/encoder"
+	"oleandertally/core/exporter"
 	"oleandertally/core/operator"
-	"oleandertally/core/reporter"
 	"oleandertally/core/specifier"
 	"oleandertally/core/supervisor"
 	"oleandertally/state/replicator"
@@ -91,7 +91,7 @@
 	must.NoError(c.t, err)
 	return &Controller{Name: c.peers[i].Name, Zone: "heredia", Addr: c.peers[i].Addr, DataFolder: c.dataFolder(i), Peers: c.peers,
 		Bootstrap: bootstrap, MemberLease: c.memberLease, MaxSubmissions: 1_000_000, MaxMessage: encoder.MaxMessage, Consensus: c.consensus,
-		Security: security, Metrics: reporter.NewController(), Health: supervisor.NewHealth(Conditions()...), Log: zerolog.Nop(),
+		Security: security, Metrics: exporter.NewController(), Health: supervisor.NewHealth(Conditions()...), Log: zerolog.Nop(),
 		openFolder: c.openFolder, serverOptions: []grpc.ServerOption{grpc.StatsHandler(&c.statsHandler)}}
 }
 
--- a/controller/server/controller.go
+++ b/controller/server/controller.go
@@ -20,10 +20,10 @@
 	"oleandertally/core/configurator"
 	"oleandertally/core/dialer"
 	"oleandertally/core/encoder"
+	"oleandertally/core/exporter"
 	"oleandertally/core/looper"
 	"oleandertally/core/operator"
 	"oleandertally/core/recorder"
-	"oleandertally/core/reporter"
 	"oleandertally/core/specifier"
 	"oleandertally/core/supervisor"
 	"oleandertally/state/keeper"
@@ -60,7 +60,7 @@
 	Clock          func() time.Time    // default time.Now; must go on while the host is suspended
 	MaxMessage     configurator.ByteSize
 	Security       *authenticator.Authenticator
-	Metrics        *reporter.Controller
+	Metrics        *exporter.Controller
 	Health         *supervisor.Health // with Conditions
 	Events         *recorder.Buffer   // default one of its own
 	Log            zerolog.Logger
--- a/core/reporter/buckets.go
+++ b/core/exporter/buckets.go
@@ -1,4 +1,4 @@
-package reporter
+package exporter
 
 // The bounds of the histograms.
 var (
--- a/core/reporter/cause.go
+++ b/core/exporter/cause.go
@@ -1,4 +1,4 @@
-package reporter
+package exporter
 
 // Cause says why an agent refused a task, with the values of the agent's own type.
 type Cause string
--- a/core/reporter/class.go
+++ b/core/exporter/class.go
@@ -1,4 +1,4 @@
-package reporter
+package exporter
 
 // Class is a class of work by its run time, as the scheduler learned it.
 type Class string
--- a/core/reporter/direction.go
+++ b/core/exporter/direction.go
@@ -1,4 +1,4 @@
-package reporter
+package exporter
 
 // Direction says which way control bytes go.
 type Direction string
--- a/core/reporter/metric.go
+++ b/core/exporter/metric.go
@@ -1,4 +1,4 @@
-package reporter
+package exporter
 
 import "github.com/prometheus/client_golang/prometheus"
 
--- a/core/reporter/queues.go
+++ b/core/exporter/queues.go
@@ -1,4 +1,4 @@
-package reporter
+package exporter
 
 import (
 	"net/http"
--- a/entry/main.go
+++ b/entry/main.go
@@ -18,9 +18,9 @@
 
 	"oleandertally/core/authenticator"
 	"oleandertally/core/configurator"
+	"oleandertally/core/exporter"
 	"oleandertally/core/launcher"
 	"oleandertally/core/recorder"
-	"oleandertally/core/reporter"
 	"oleandertally/core/specifier"
 	"oleandertally/core/supervisor"
 	"oleandertally/entry/runner"
@@ -65,7 +65,7 @@
 	if err != nil {
 		return errors.Mark(err, launcher.ErrSettings)
 	}
-	metrics, health := reporter.NewEntry(), supervisor.NewHealth(runner.Conditions()...)
+	metrics, health := exporter.NewEntry(), supervisor.NewHealth(runner.Conditions()...)
 	entry := &runner.Entry{Settings: settings, Security: security, Metrics: metrics, Health: health, Log: log,
 		Events: &recorder.Buffer{Cap: eventsKept, Clock: time.Now}, Notice: min(maxNotice, settings.StopWithin/4)}
 	launched := &launcher.Launcher{Process: settings.ProcessSettings, Program: entry, Health: health, Metrics: metrics.Handler(),
--- a/entry/runner/entry.go
+++ b/entry/runner/entry.go
@@ -19,11 +19,11 @@
 	"oleandertally/core/configurator"
 	"oleandertally/core/dialer"
 	"oleandertally/core/encoder"
+	"oleandertally/core/exporter"
 	"oleandertally/core/looper"
 	"oleandertally/core/operator"
 	"oleandertally/core/recorder"
 	"oleandertally/core/registrant"
-	"oleandertally/core/reporter"
 	"oleandertally/core/specifier"
 	"oleandertally/core/supervisor"
 	"oleandertally/dispatch/scheduler"
@@ -55,7 +55,7 @@
 	Settings configurator.EntrySettings
 	Security *authenticator.Authenticator
 	Events   *recorder.Buffer // its Process is set to the identity of the run
-	Metrics  *reporter.Entry
+	Metrics  *exporter.Entry
 	Health   *supervisor.Health
 	Log      zerolog.Logger
 	Stats    stats.Handler // of all connections that the entry opens, beside its own counts; default none
@@ -105,7 +105,7 @@
 	e.leave, e.attended = make(chan struct{}), make(chan struct{})
 	e.waiters = &answerer.Waiters{}
 	e.lease = registrant.NewLease()
-	e.pools = newPools(e.Security, int(e.Settings.MaxMessage), &reporter.Bytes{Member: e.Metrics.Member}, e.Stats)
+	e.pools = newPools(e.Security, int(e.Settings.MaxMessage), &exporter.Bytes{Member: e.Metrics.Member}, e.Stats)
 	e.Health.Probe = e.probe
 	var err error
 	if e.callers, err = net.Listen("tcp", e.Settings.HTTPAddr.String()); err != nil {
--- a/entry/runner/entry_test.go
+++ b/entry/runner/entry_test.go
@@ -13,8 +13,8 @@
 
 	"oleandertally/core/authenticator"
 	"oleandertally/core/configurator"
+	"oleandertally/core/exporter"
 	"oleandertally/core/recorder"
-	"oleandertally/core/reporter"
 	"oleandertally/core/supervisor"
 )
 
@@ -32,7 +32,7 @@
 	security, err := authenticator.New(configurator.SecuritySettings{Insecure: true}, authenticator.Peer{}, time.Now, func(error) {})
 	must.NoError(t, err)
 	return &Entry{Settings: settings, Security: security, Events: &recorder.Buffer{Cap: 10, Clock: time.Now},
-		Metrics: reporter.NewEntry(), Health: supervisor.NewHealth(Conditions()...)}
+		Metrics: exporter.NewEntry(), Health: supervisor.NewHealth(Conditions()...)}
 }
 
 // Guards against a shutdown that hangs or leaves goroutines when no controller answers.
--- a/entry/runner/measured.go
+++ b/entry/runner/measured.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"oleandertally/core/reporter"
+	"oleandertally/core/exporter"
 )
 
 // measured is what a meter remembers of a job that is not answered.
@@ -11,7 +11,7 @@
 	profile  string
 	deadline time.Time
 	tasks    int
-	class    reporter.Class // when it was accepted
+	class    exporter.Class // when it was accepted
 	proposed time.Time      // zero once decided
 	accepted time.Time
 	waiting  int                  // tasks at this entry
--- a/entry/runner/meter.go
+++ b/entry/runner/meter.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"oleandertally/core/exporter"
 	"oleandertally/core/recorder"
-	"oleandertally/core/reporter"
 	"oleandertally/core/specifier"
 	"oleandertally/dispatch/classifier"
 	"oleandertally/entry/coordinator"
@@ -17,20 +17,20 @@
 // meter counts what passes through the coordinator. It runs on the control goroutine and does not block.
 type meter struct {
 	coordinator *coordinator.Coordinator
-	metrics     *reporter.Entry
+	metrics     *exporter.Entry
 
 	waiters    map[coordinator.Waiter]call
 	jobs       map[specifier.JobID]*measured
 	sweep      int
-	queued     map[reporter.Class]int
+	queued     map[exporter.Class]int
 	profiles   map[string]specifier.Profile
 	slots      map[string]int // by service
 	classifier classifier.Classifier
 }
 
-func newMeter(machine *coordinator.Coordinator, metrics *reporter.Entry) *meter {
+func newMeter(machine *coordinator.Coordinator, metrics *exporter.Entry) *meter {
 	return &meter{coordinator: machine, metrics: metrics, waiters: make(map[coordinator.Waiter]call),
-		jobs: make(map[specifier.JobID]*measured), sweep: sweepAt, queued: make(map[reporter.Class]int), slots: make(map[string]int)}
+		jobs: make(map[specifier.JobID]*measured), sweep: sweepAt, queued: make(map[exporter.Class]int), slots: make(map[string]int)}
 }
 
 // Step handles one event.
@@ -177,10 +177,10 @@
 
 // ideal returns the class of the job's longest task, and the time that the job takes when every slot of
 // its service runs nothing else; 0 when its tasks did not run for this entry.
-func (m *meter) ideal(id specifier.JobID) (reporter.Class, time.Duration) {
+func (m *meter) ideal(id specifier.JobID) (exporter.Class, time.Duration) {
 	job := m.jobs[id]
 	if job == nil {
-		return reporter.Short, 0
+		return exporter.Short, 0
 	}
 	slots := max(m.slots[m.profiles[job.profile].Service], 1)
 	return classes[classifier.Of(job.longest)], max(job.longest, job.total/time.Duration(slots))
@@ -203,10 +203,10 @@
 	m.metrics.SetQueued(job.class, m.queued[job.class])
 }
 
-func (m *meter) classOf(profile string) reporter.Class {
+func (m *meter) classOf(profile string) exporter.Class {
 	return classes[m.classifier.Class(profile, m.profiles[profile].TypicalTime)]
 }
 
-var classes = map[classifier.Class]reporter.Class{
-	classifier.Short: reporter.Short, classifier.Medium: reporter.Medium, classifier.Long: reporter.Long,
+var classes = map[classifier.Class]exporter.Class{
+	classifier.Short: exporter.Short, classifier.Medium: exporter.Medium, classifier.Long: exporter.Long,
 }
--- a/local/assembler/site.go
+++ b/local/assembler/site.go
@@ -20,9 +20,9 @@
 	"oleandertally/core/configurator"
 	"oleandertally/core/dialer"
 	"oleandertally/core/encoder"
+	"oleandertally/core/exporter"
 	"oleandertally/core/looper"
 	"oleandertally/core/recorder"
-	"oleandertally/core/reporter"
 	"oleandertally/core/specifier"
 	"oleandertally/core/supervisor"
 	"oleandertally/entry/coordinator"
@@ -153,7 +153,7 @@
 	name := fmt.Sprintf("controller-%d", i+1)
 	controller := &server.Controller{Name: name, Zone: s.zone(i), Addr: s.Layout.Controller(i), DataFolder: filepath.Join(s.DataFolder, name), Peers: s.peers(),
 		Bootstrap: i == 0 && s.isNew(name), MemberLease: s.MemberLease, MaxSubmissions: maxSubmissions, MaxMessage: encoder.MaxMessage,
-		Consensus: replicator.Defaults(), Security: insecureSite(), Metrics: reporter.NewController(),
+		Consensus: replicator.Defaults(), Security: insecureSite(), Metrics: exporter.NewController(),
 		Health: supervisor.NewHealth(server.Conditions()...), Log: s.Log}
 	return start(s.ctx, s.group, "controller", abrupt{controller.Run})
 }
@@ -184,7 +184,7 @@
 	settings.Name, settings.Zone, settings.Rack, settings.Service = fmt.Sprintf("worker-%02d", i+1), s.zone(i/perRack), fmt.Sprintf("rack-%d", i/perRack+1), s.Service
 	settings.AgentAddr, settings.AnnounceAddr, settings.Controllers = s.Layout.agent(i), s.Layout.announce(i), s.controllerAddrs()
 	agent := &agentrunner.Agent{Settings: settings, Security: insecureSite(), Events: s.buffer(), Log: s.Log,
-		Metrics: reporter.NewAgent(), Health: supervisor.NewHealth(agentrunner.Conditions()...)}
+		Metrics: exporter.NewAgent(), Health: supervisor.NewHealth(agentrunner.Conditions()...)}
 	return start(s.ctx, s.group, "agent", agent)
 }
 
@@ -199,7 +199,7 @@
 	settings.Name, settings.Zone, settings.Rack = fmt.Sprintf("entry-%d", i+1), s.zone(i), fmt.Sprintf("entry-%d", i+1)
 	settings.HTTPAddr, settings.PeerAddr, settings.Controllers = s.Layout.Entry(i), s.Layout.entryPeer(i), s.controllerAddrs()
 	entry := &entryrunner.Entry{Settings: settings, Security: insecureSite(), Events: s.buffer(), Log: s.Log,
-		Stats: s.Stats, Metrics: reporter.NewEntry(), Health: supervisor.NewHealth(entryrunner.Conditions()...)}
+		Stats: s.Stats, Metrics: exporter.NewEntry(), Health: supervisor.NewHealth(entryrunner.Conditions()...)}
 	return start(s.ctx, s.group, "entry", entry)
 }
 
--- a/local/assembler/stop_test.go
+++ b/local/assembler/stop_test.go
@@ -14,7 +14,7 @@
 	"go.uber.org/goleak"
 	"golang.org/x/sync/errgroup"
 
-	"oleandertally/core/reporter"
+	"oleandertally/core/exporter"
 	"oleandertally/core/specifier"
 	"oleandertally/core/verifier"
 	entryrunner "oleandertally/entry/runner"
@@ -171,7 +171,7 @@
 
 // mustMeasure checks that no task is counted as waiting after a burst, and that answers are counted as often
 // as they are Complete. The other entry has answered the rest, so most is a bound.
-func mustMeasure(t *testing.T, metrics *reporter.Entry, most float64) {
+func mustMeasure(t *testing.T, metrics *exporter.Entry, most float64) {
 	t.Helper()
 	families, err := metrics.Registry().Gather()
 	must.NoError(t, err)
