--- a/agent/tender/event.go
+++ b/agent/leaserunner/event.go
@@ -1,4 +1,4 @@
-package tender
+package leaserunner
 
 import (
 	"oleandertally/agent/leaseholder"
