--- a/controller/referrer/queues.go
+++ b/controller/redirector/queues.go
@@ -1,4 +1,4 @@
-package referrer
+package redirector
 
 import (
 	"net/netip"
