--- a/controller/dispatcher/bench_test.go
+++ b/controller/dispatcher/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"oleandertally/core/specifier"
-	"oleandertally/state/keeper"
+	"oleandertally/state/jobrecorder"
 )
 
 // BenchmarkEnds measures the control goroutine's time for the end of a task and the start of the next one, at 64 and 940 workers
@@ -15,7 +15,7 @@
 	for _, workers := range []int{64, 940} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
 			now := time.Unix(1000, 0)
-			d := &Dispatcher{Keeper: keeper.New(time.Minute), Settings: Defaults(), Leading: func(time.Time) bool { return true }, Open: func() bool { return true }}
+			d := &Dispatcher{Keeper: jobrecorder.New(time.Minute), Settings: Defaults(), Leading: func(time.Time) bool { return true }, Open: func() bool { return true }}
 			step := func(event Event) []Action { return d.Step(now, event) }
 			step(Led{Term: 1})
 			step(Applied{specifier.QueueCommand{Manifest: &specifier.Manifest{Version: 1, Queues: []specifier.Queue{
--- a/controller/dispatcher/dispatcher.go
+++ b/controller/dispatcher/dispatcher.go
@@ -5,13 +5,13 @@
 
 	"oleandertally/core/container"
 	"oleandertally/core/specifier"
-	"oleandertally/state/keeper"
+	"oleandertally/state/jobrecorder"
 )
 
 // Dispatcher is the volatile state of the leading controller and, on every controller, the replicated state of the
 // queues. Exported fields are set before the first Step.
 type Dispatcher struct {
-	Keeper   *keeper.Keeper
+	Keeper   *jobrecorder.Keeper
 	Settings Settings
 	// Leading reports whether this controller may answer as leader.
 	Leading func(now time.Time) bool
--- a/controller/driver/image.go
+++ b/controller/driver/image.go
@@ -7,7 +7,7 @@
 
 	"oleandertally/core/encoder"
 	"oleandertally/core/specifier"
-	"oleandertally/state/keeper"
+	"oleandertally/state/jobrecorder"
 	"oleandertally/state/registrar"
 )
 
@@ -19,16 +19,16 @@
 
 // Encode writes the queues and then the registry.
 func (m *Image) Encode(w io.Writer) error {
-	if err := keeper.Write(w, m.Queues); err != nil {
+	if err := jobrecorder.Write(w, m.Queues); err != nil {
 		return err
 	}
 	return m.Registry.Encode(w)
 }
 
 // DecodeImage reads what Encode wrote.
-func DecodeImage(content []byte, retention time.Duration) (*keeper.Keeper, *registrar.Registrar, error) {
+func DecodeImage(content []byte, retention time.Duration) (*jobrecorder.Keeper, *registrar.Registrar, error) {
 	reader := bytes.NewReader(content)
-	queues, err := keeper.Read(reader, retention)
+	queues, err := jobrecorder.Read(reader, retention)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/controller/server/controller.go
+++ b/controller/server/controller.go
@@ -26,7 +26,7 @@
 	"oleandertally/core/recorder"
 	"oleandertally/core/specifier"
 	"oleandertally/core/supervisor"
-	"oleandertally/state/keeper"
+	"oleandertally/state/jobrecorder"
 	"oleandertally/state/registrar"
 	"oleandertally/state/replicator"
 	"oleandertally/state/transporter"
@@ -215,7 +215,7 @@
 	if err := node.Check(); err != nil {
 		return nil, err
 	}
-	state, queues := registrar.New(specifier.MaxSubmissions), keeper.New(c.JobRetention)
+	state, queues := registrar.New(specifier.MaxSubmissions), jobrecorder.New(c.JobRetention)
 	if recovered.content != nil {
 		var err error
 		if queues, state, err = driver.DecodeImage(recovered.content, c.JobRetention); err != nil {
--- a/local/prover/world_test.go
+++ b/local/prover/world_test.go
@@ -10,7 +10,7 @@
 	"oleandertally/controller/dispatcher"
 	"oleandertally/core/container"
 	"oleandertally/core/specifier"
-	"oleandertally/state/keeper"
+	"oleandertally/state/jobrecorder"
 )
 
 const (
@@ -56,7 +56,7 @@
 		faults: true, leading: -1, running: make(map[string]*workerRun), noted: make(map[string]bool), started: make(map[string]bool)}
 	for i := range controllers {
 		l := &fakeLeader{world: w, index: i}
-		l.machine = &dispatcher.Dispatcher{Keeper: keeper.New(time.Minute), Settings: dispatcher.Defaults(),
+		l.machine = &dispatcher.Dispatcher{Keeper: jobrecorder.New(time.Minute), Settings: dispatcher.Defaults(),
 			Leading: func(time.Time) bool { return w.leading == l.index }, Open: func() bool { return true }}
 		w.leaders = append(w.leaders, l)
 	}
--- a/state/keeper/image.go
+++ b/state/jobrecorder/image.go
@@ -1,4 +1,4 @@
-package keeper
+package jobrecorder
 
 import (
 	"io"
