--- a/entry/answerer/gate.go
+++ b/entry/responder/gate.go
@@ -1,4 +1,4 @@
-package answerer
+package responder
 
 // Gate bounds how many requests are open at once. Use NewGate.
 type Gate struct {
--- a/entry/answerer/peer.go
+++ b/entry/responder/peer.go
@@ -1,4 +1,4 @@
-package answerer
+package responder
 
 import (
 	"context"
--- a/local/assembler/copies_test.go
+++ b/local/assembler/copies_test.go
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 
 	"oleandertally/core/specifier"
-	"oleandertally/entry/answerer"
+	"oleandertally/entry/responder"
 	"oleandertally/local/submitter"
 )
 
@@ -88,7 +88,7 @@
 	h := newHarness(t, newStartWatch(half))
 	body, err := json.Marshal(submitter.NewSubmission(newJob("hold", tasks, 200*time.Millisecond)))
 	must.NoError(t, err)
-	responses := make([]answerer.Response, jobs)
+	responses := make([]responder.Response, jobs)
 	var group sync.WaitGroup
 	for i := range jobs {
 		group.Go(func() { responses[i] = h.call(i, fmt.Sprintf("job-%d", i), body) })
@@ -96,7 +96,7 @@
 	h.awaitStarts()
 	killLeader(h)
 	// Jobs that come while nobody leads.
-	late := make([]answerer.Response, jobs)
+	late := make([]responder.Response, jobs)
 	for i := range jobs {
 		group.Go(func() { late[i] = h.call(i, fmt.Sprintf("late-%d", i), body) })
 	}
@@ -110,7 +110,7 @@
 }
 
 // mustCompleteOnce checks that all copies got one complete answer and each task started once.
-func mustCompleteOnce(h *harness, responses []answerer.Response) {
+func mustCompleteOnce(h *harness, responses []responder.Response) {
 	h.t.Helper()
 	answer := h.mustAgree(responses)
 	must.Eq(h.t, specifier.Complete, answer.Outcome, must.Sprint(answer.Reason, answer.Detail))
--- a/local/assembler/harness_test.go
+++ b/local/assembler/harness_test.go
@@ -18,7 +18,7 @@
 	"oleandertally/core/recorder"
 	"oleandertally/core/specifier"
 	"oleandertally/core/verifier"
-	"oleandertally/entry/answerer"
+	"oleandertally/entry/responder"
 	"oleandertally/local/assembler"
 	"oleandertally/local/imitator"
 	"oleandertally/local/submitter"
@@ -101,26 +101,26 @@
 func idOf(key string) specifier.JobID { return specifier.NewJobID(team, key) }
 
 // call submits until an answer comes, through the other entry whenever the connection breaks.
-func (h *harness) call(entry int, key string, body []byte) answerer.Response {
+func (h *harness) call(entry int, key string, body []byte) responder.Response {
 	for ; h.ctx.Err() == nil; entry++ {
 		response, _, err := h.sender.Post(h.ctx, entry, key, body)
 		if err == nil {
 			return response
 		}
 	}
-	return answerer.Response{}
+	return responder.Response{}
 }
 
 // callAll sends one body in copies through all entries at once; the answers come from wait.
-func (h *harness) callAll(key string, job tracer.Job) (wait func() []answerer.Response) {
+func (h *harness) callAll(key string, job tracer.Job) (wait func() []responder.Response) {
 	body, err := json.Marshal(submitter.NewSubmission(job))
 	must.NoError(h.t, err)
-	responses := make([]answerer.Response, copies)
+	responses := make([]responder.Response, copies)
 	var group sync.WaitGroup
 	for i := range copies {
 		group.Go(func() { responses[i] = h.call(i, key, body) })
 	}
-	return func() []answerer.Response {
+	return func() []responder.Response {
 		group.Wait()
 		must.NoError(h.t, h.ctx.Err(), must.Func(func() string { return h.story(key) }))
 		return responses
@@ -160,7 +160,7 @@
 }
 
 // mustAgree checks that every caller got the same whole answer, and returns it.
-func (h *harness) mustAgree(responses []answerer.Response) answerer.Response {
+func (h *harness) mustAgree(responses []responder.Response) responder.Response {
 	h.t.Helper()
 	for _, response := range responses {
 		must.Eq(h.t, responses[0], response)
@@ -177,7 +177,7 @@
 }
 
 // mustBeTrue checks one answer against the upstreams' own log of starts.
-func (h *harness) mustBeTrue(key string, tasks int, response answerer.Response) {
+func (h *harness) mustBeTrue(key string, tasks int, response responder.Response) {
 	h.t.Helper()
 	switch response.Outcome {
 	case specifier.Complete:
--- a/local/submitter/result.go
+++ b/local/submitter/result.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"oleandertally/entry/answerer"
+	"oleandertally/entry/responder"
 	"oleandertally/replay/tracer"
 )
 
@@ -11,7 +11,7 @@
 type Result struct {
 	Job      tracer.Job
 	Key      string
-	Response answerer.Response
+	Response responder.Response
 	Status   int
 	Took     time.Duration
 	Err      error // the request got no answer
