--- a/entry/linker/proposer.go
+++ b/entry/connector/proposer.go
@@ -1,4 +1,4 @@
-package linker
+package connector
 
 import (
 	"context"
--- a/entry/linker/doc.go
+++ /dev/null
@@ -1,3 +0,0 @@
-// Package linker carries the coordinator's actions to controllers, agents and other entries, and their
-// messages back as events.
-package linker
--- a/entry/runner/entry.go
+++ b/entry/runner/entry.go
@@ -27,8 +27,8 @@
 	"oleandertally/core/specifier"
 	"oleandertally/core/supervisor"
 	"oleandertally/dispatch/scheduler"
+	"oleandertally/entry/connector"
 	"oleandertally/entry/coordinator"
-	"oleandertally/entry/linker"
 	"oleandertally/entry/responder"
 )
 
@@ -68,9 +68,9 @@
 	mailbox  *looper.Mailbox[coordinator.Event]
 	drained  chan struct{}
 	waiters  *responder.Waiters
-	proposer *linker.Proposer
-	agents   *linker.Agents
-	asker    *linker.Asker
+	proposer *connector.Proposer
+	agents   *connector.Agents
+	asker    *connector.Asker
 	lease    *registrant.Lease
 	pools    pools
 	web      *http.Server
@@ -160,10 +160,10 @@
 
 // connect prepares the streams to controllers, agents and other entries.
 func (e *Entry) connect(group *errgroup.Group, ctx context.Context) {
-	e.proposer = linker.NewProposer()
+	e.proposer = connector.NewProposer()
 	e.proposer.Controllers, e.proposer.Pool, e.proposer.Sink, e.proposer.Log = e.Settings.Controllers, e.pools.controllers, e.mailbox, e.Log
-	e.agents = &linker.Agents{Self: e.Self, Pool: e.pools.agents, Sink: e.mailbox, Log: e.Log, Clock: time.Now, Group: group, Ctx: ctx}
-	e.asker = &linker.Asker{Pool: e.pools.entries, Sink: e.mailbox, Group: group, Ctx: ctx}
+	e.agents = &connector.Agents{Self: e.Self, Pool: e.pools.agents, Sink: e.mailbox, Log: e.Log, Clock: time.Now, Group: group, Ctx: ctx}
+	e.asker = &connector.Asker{Pool: e.pools.entries, Sink: e.mailbox, Group: group, Ctx: ctx}
 	e.lease.Clock = time.Now
 	e.lease.Renewed = func(left time.Duration) {
 		e.Health.Meet(conditionLease)
@@ -230,15 +230,15 @@
 	case coordinator.Propose:
 		e.proposer.Propose(action.Command)
 	case coordinator.Assign:
-		e.agents.Put(action.Agent, linker.EncodeAssign(action, time.Now()))
+		e.agents.Put(action.Agent, connector.EncodeAssign(action, time.Now()))
 	case coordinator.Withdraw:
-		e.agents.Put(action.Agent, linker.EncodeWithdraw(action))
+		e.agents.Put(action.Agent, connector.EncodeWithdraw(action))
 	case coordinator.Fence:
-		e.agents.Put(action.Agent, linker.EncodeFence(action, time.Now()))
+		e.agents.Put(action.Agent, connector.EncodeFence(action, time.Now()))
 	case coordinator.AskOwner:
 		e.asker.Ask(action)
 	case coordinator.Released:
-		e.agents.Put(action.Agent, linker.EncodeReleased())
+		e.agents.Put(action.Agent, connector.EncodeReleased())
 	case coordinator.Drained:
 		select {
 		case e.drained <- struct{}{}:
--- a/local/assembler/site.go
+++ b/local/assembler/site.go
@@ -25,8 +25,8 @@
 	"oleandertally/core/recorder"
 	"oleandertally/core/specifier"
 	"oleandertally/core/supervisor"
+	"oleandertally/entry/connector"
 	"oleandertally/entry/coordinator"
-	"oleandertally/entry/linker"
 	entryrunner "oleandertally/entry/runner"
 	"oleandertally/local/imitator"
 	"oleandertally/state/replicator"
@@ -218,7 +218,7 @@
 	pool := &dialer.Pool{Credentials: insecure.NewCredentials()}
 	defer pool.Close()
 	sink := looper.NewMailbox[coordinator.Event](1)
-	proposer := linker.NewProposer()
+	proposer := connector.NewProposer()
 	proposer.Pool, proposer.Sink, proposer.Log = pool, sink, s.Log
 	for c := range s.Controllers {
 		proposer.Controllers = append(proposer.Controllers, s.Layout.Controller(c))
--- a/local/estimator/wire_test.go
+++ b/local/estimator/wire_test.go
@@ -8,8 +8,8 @@
 
 	"oleandertally/core/encoder"
 	"oleandertally/core/specifier"
+	"oleandertally/entry/connector"
 	"oleandertally/entry/coordinator"
-	"oleandertally/entry/linker"
 )
 
 // frame is what gRPC adds to each message.
@@ -79,7 +79,7 @@
 			Order: nine.Add(-200 * time.Millisecond), Deadline: nine.Add(10 * time.Second), Profile: "mix"}
 		var bytes int
 		for b.Loop() {
-			bytes = proto.Size(linker.EncodeAssign(assign, nine)) + frame
+			bytes = proto.Size(connector.EncodeAssign(assign, nine)) + frame
 		}
 		b.ReportMetric(float64(bytes), "B/task")
 	})
