--- a/local/assembler/drain_test.go
+++ b/local/assembler/drain_test.go
@@ -15,7 +15,7 @@
 
 	"oleandertally/core/recorder"
 	"oleandertally/core/specifier"
-	"oleandertally/local/imitator"
+	"oleandertally/local/emulator"
 	"oleandertally/local/submitter"
 	"oleandertally/replay/tracer"
 )
@@ -34,7 +34,7 @@
 
 // Guards against a stop of the whole site that cuts off a job in flight, or that never ends.
 func TestDrainAnswersJobsInFlight(t *testing.T) {
-	starts := &imitator.StartLog{}
+	starts := &emulator.StartLog{}
 	site := startSite(t, starts)
 	sender := &submitter.Submitter{Client: &http.Client{Transport: &http.Transport{}}, Entries: []netip.AddrPort{site.Layout.Entry(0), site.Layout.Entry(1)}}
 	for entry := range site.Entries {
--- a/local/assembler/harness_test.go
+++ b/local/assembler/harness_test.go
@@ -20,7 +20,7 @@
 	"oleandertally/core/verifier"
 	"oleandertally/entry/responder"
 	"oleandertally/local/assembler"
-	"oleandertally/local/imitator"
+	"oleandertally/local/emulator"
 	"oleandertally/local/submitter"
 	"oleandertally/replay/tracer"
 )
@@ -39,7 +39,7 @@
 	t      *testing.T
 	ctx    context.Context
 	site   *assembler.Site
-	starts *imitator.StartLog
+	starts *emulator.StartLog
 	watch  *startWatch
 	sender *submitter.Submitter
 
@@ -49,7 +49,7 @@
 // newHarness starts a site of two entries, three controllers and four workers. watch is told of every start.
 func newHarness(t *testing.T, watch *startWatch) *harness {
 	ctx, cancel := context.WithTimeout(t.Context(), bound)
-	starts := &imitator.StartLog{Out: watch}
+	starts := &emulator.StartLog{Out: watch}
 	joins := newJoinWatch(2)
 	claim, err := assembler.NewClaim()
 	must.NoError(t, err)
--- a/local/assembler/site.go
+++ b/local/assembler/site.go
@@ -28,7 +28,7 @@
 	"oleandertally/entry/connector"
 	"oleandertally/entry/coordinator"
 	entryrunner "oleandertally/entry/runner"
-	"oleandertally/local/imitator"
+	"oleandertally/local/emulator"
 	"oleandertally/state/replicator"
 )
 
@@ -51,7 +51,7 @@
 	MemberLease time.Duration
 	Profiles    []specifier.Profile
 	Teams       []specifier.Team
-	Starts      *imitator.StartLog
+	Starts      *emulator.StartLog
 	Log         zerolog.Logger
 	Stats       stats.Handler // of the streams that entries open; default none
 
@@ -189,7 +189,7 @@
 }
 
 func (s *Site) startUpstream(i int) *process {
-	upstream := &imitator.Upstream{Worker: fmt.Sprintf("worker-%02d", i+1), Addr: s.Layout.upstream(i), AgentAddr: s.Layout.announce(i),
+	upstream := &emulator.Upstream{Worker: fmt.Sprintf("worker-%02d", i+1), Addr: s.Layout.upstream(i), AgentAddr: s.Layout.announce(i),
 		Slots: slots, Starts: s.Starts}
 	return start(s.ctx, s.group, "upstream", abrupt{upstream.Run})
 }
--- a/local/assembler/stop_test.go
+++ b/local/assembler/stop_test.go
@@ -18,7 +18,7 @@
 	"oleandertally/core/specifier"
 	"oleandertally/core/verifier"
 	entryrunner "oleandertally/entry/runner"
-	"oleandertally/local/imitator"
+	"oleandertally/local/emulator"
 	"oleandertally/local/submitter"
 	"oleandertally/replay/tracer"
 )
@@ -34,7 +34,7 @@
 // refusal of the first is held for specifier.RefusalHold.
 type burst struct {
 	sender *submitter.Submitter
-	starts *imitator.StartLog
+	starts *emulator.StartLog
 
 	mutex   sync.Mutex
 	problem []string
@@ -117,7 +117,7 @@
 	return started
 }
 
-func startSite(t *testing.T, starts *imitator.StartLog) *Site {
+func startSite(t *testing.T, starts *emulator.StartLog) *Site {
 	t.Helper()
 	claim, err := NewClaim()
 	must.NoError(t, err)
@@ -136,7 +136,7 @@
 // goroutine behind.
 func TestPlannedStopCutsNothingOff(t *testing.T) {
 	leaks := goleak.IgnoreCurrent()
-	starts := &imitator.StartLog{}
+	starts := &emulator.StartLog{}
 	site := startSite(t, starts)
 	// Without kept connections, so that a closed listener is told apart from an answer that is cut off.
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
--- a/local/imitator/payload.go
+++ b/local/emulator/payload.go
@@ -1,4 +1,4 @@
-package imitator
+package emulator
 
 // Payload is what the stand-in expects in a task.
 type Payload struct {
--- a/local/imitator/startlog.go
+++ b/local/emulator/startlog.go
@@ -1,4 +1,4 @@
-package imitator
+package emulator
 
 import (
 	"fmt"
--- a/local/imitator/doc.go
+++ /dev/null
@@ -1,3 +0,0 @@
-// Package imitator is a stand-in for an upstream: it announces itself to its agent, runs tasks that
-// only wait, and keeps a log of starts.
-package imitator
--- a/local/measurecommand.go
+++ b/local/measurecommand.go
@@ -15,7 +15,7 @@
 
 	"oleandertally/local/assembler"
 	"oleandertally/local/counter"
-	"oleandertally/local/imitator"
+	"oleandertally/local/emulator"
 	"oleandertally/local/submitter"
 	"oleandertally/replay/tracer"
 )
@@ -81,7 +81,7 @@
 		return measurement{}, errors.Wrap(err, "create the data folder")
 	}
 	defer os.RemoveAll(folder)
-	starts, messages := &imitator.StartLog{}, &counter.Counter{}
+	starts, messages := &emulator.StartLog{}, &counter.Counter{}
 	site := (&replayCommand{}).site(starts)
 	site.Layout, site.DataFolder, site.Stats, site.Entries = claim.Layout, folder, messages, c.entries
 	if err := site.Start(ctx); err != nil {
--- a/local/programs_test.go
+++ b/local/programs_test.go
@@ -26,7 +26,7 @@
 	"oleandertally/core/operator"
 	"oleandertally/core/recorder"
 	"oleandertally/core/specifier"
-	"oleandertally/local/imitator"
+	"oleandertally/local/emulator"
 	"oleandertally/local/submitter"
 	"oleandertally/replay/tracer"
 )
@@ -149,7 +149,7 @@
 	folder, host := build(t), loopback()
 	settings := writeSettings(t, host)
 	at := func(port uint16) netip.AddrPort { return netip.AddrPortFrom(host, port) }
-	upstream := &imitator.Upstream{Worker: "agent-1", Addr: at(9000), AgentAddr: at(7202), Slots: 4, Starts: &imitator.StartLog{}}
+	upstream := &emulator.Upstream{Worker: "agent-1", Addr: at(9000), AgentAddr: at(7202), Slots: 4, Starts: &emulator.StartLog{}}
 	ctx, cancel := context.WithCancel(t.Context())
 	var group errgroup.Group
 	group.Go(func() error { return upstream.Run(ctx) })
--- a/local/replaycommand.go
+++ b/local/replaycommand.go
@@ -14,7 +14,7 @@
 
 	"oleandertally/core/specifier"
 	"oleandertally/local/assembler"
-	"oleandertally/local/imitator"
+	"oleandertally/local/emulator"
 	"oleandertally/local/submitter"
 	"oleandertally/replay/tracer"
 )
@@ -40,7 +40,7 @@
 	if err != nil {
 		return 0, err
 	}
-	starts := &imitator.StartLog{}
+	starts := &emulator.StartLog{}
 	if c.serve && c.starts == "" {
 		c.starts = "starts.log"
 	}
@@ -116,7 +116,7 @@
 }
 
 // site has the zones, racks and slots of Alisio today, on the fixed addresses of -serve.
-func (c *replayCommand) site(starts *imitator.StartLog) *assembler.Site {
+func (c *replayCommand) site(starts *emulator.StartLog) *assembler.Site {
 	base := netip.AddrFrom4([4]byte{127, 1, 0, 0})
 	log := zerolog.Nop()
 	if c.verbose {
--- a/local/report.go
+++ b/local/report.go
@@ -12,7 +12,7 @@
 	"oleandertally/core/specifier"
 	"oleandertally/core/verifier"
 	"oleandertally/local/assembler"
-	"oleandertally/local/imitator"
+	"oleandertally/local/emulator"
 	"oleandertally/local/submitter"
 	"oleandertally/replay/tracer"
 )
@@ -32,7 +32,7 @@
 	broken   []string
 }
 
-func newReport(trace tracer.Trace, results []submitter.Result, site *assembler.Site, starts *imitator.StartLog, took time.Duration) *report {
+func newReport(trace tracer.Trace, results []submitter.Result, site *assembler.Site, starts *emulator.StartLog, took time.Duration) *report {
 	r := &report{trace: trace, results: results, took: took, slots: site.Slots(), outcomes: make(map[string]int), byWorker: make(map[string]int)}
 	events, dropped := site.Events()
 	for _, result := range results {
@@ -76,7 +76,7 @@
 }
 
 // check compares the upstreams' own log and the recorded events with the promises.
-func (r *report) check(events []recorder.Event, dropped int, starts *imitator.StartLog) {
+func (r *report) check(events []recorder.Event, dropped int, starts *emulator.StartLog) {
 	if dropped > 0 {
 		r.broken = append(r.broken, fmt.Sprintf("%d events were dropped, so the promises could not be checked", dropped))
 	}
--- a/local/submitter/submitter.go
+++ b/local/submitter/submitter.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"oleandertally/entry/responder"
-	"oleandertally/local/imitator"
+	"oleandertally/local/emulator"
 	"oleandertally/replay/tracer"
 )
 
@@ -82,7 +82,7 @@
 func NewSubmission(job tracer.Job) responder.Submission {
 	submission := responder.Submission{Team: job.Team, Profile: job.Profile, TimeLeft: job.TimeLeft().String()}
 	for i := range job.RunMillis {
-		payload, _ := json.Marshal(imitator.Payload{RunMillis: job.RunMillis[i], Fail: job.Poison})
+		payload, _ := json.Marshal(emulator.Payload{RunMillis: job.RunMillis[i], Fail: job.Poison})
 		submission.Tasks = append(submission.Tasks, responder.SubmittedTask{Id: fmt.Sprintf("t%03d", i), Payload: payload})
 	}
 	return submission
