--- a/local/prover/world_test.go
+++ b/local/simulator/world_test.go
@@ -1,4 +1,4 @@
-package prover
+package simulator
 
 import (
 	"fmt"
