--- /dev/null
+++ b/local/benchmarker/doc.go
@@ -0,0 +1,2 @@
+// Package benchmarker holds the benchmarks whose slopes docs/CAPACITY.md uses.
+package benchmarker
--- a/local/estimator/entrystand_test.go
+++ b/local/benchmarker/entrystand_test.go
@@ -1,4 +1,4 @@
-package estimator
+package benchmarker
 
 import (
 	"fmt"
