--- a/local/assembler/doc.go
+++ /dev/null
@@ -1,3 +0,0 @@
-// Package assembler runs every role of a site in one process on loopback, with stand-ins for the
-// upstreams, and can kill and restart each of them.
-package assembler
--- a/local/assembler/harness_test.go
+++ b/local/deployer/harness_test.go
@@ -1,4 +1,4 @@
-package assembler_test
+package deployer_test
 
 import (
 	"context"
@@ -19,7 +19,7 @@
 	"oleandertally/core/specifier"
 	"oleandertally/core/verifier"
 	"oleandertally/entry/responder"
-	"oleandertally/local/assembler"
+	"oleandertally/local/deployer"
 	"oleandertally/local/emulator"
 	"oleandertally/local/submitter"
 	"oleandertally/replay/tracer"
@@ -38,7 +38,7 @@
 type harness struct {
 	t      *testing.T
 	ctx    context.Context
-	site   *assembler.Site
+	site   *deployer.Site
 	starts *emulator.StartLog
 	watch  *startWatch
 	sender *submitter.Submitter
@@ -51,9 +51,9 @@
 	ctx, cancel := context.WithTimeout(t.Context(), bound)
 	starts := &emulator.StartLog{Out: watch}
 	joins := newJoinWatch(2)
-	claim, err := assembler.NewClaim()
+	claim, err := deployer.NewClaim()
 	must.NoError(t, err)
-	site := &assembler.Site{
+	site := &deployer.Site{
 		Layout:     claim.Layout,
 		DataFolder: t.TempDir(), Zones: []string{"alajuela", "heredia", "cartago"}, Service: "reservas",
 		Entries: 2, Controllers: 3, Workers: 4, MemberLease: lease, Starts: starts, Log: zerolog.New(joins),
--- a/local/assembler/joinwatch_test.go
+++ b/local/deployer/joinwatch_test.go
@@ -1,4 +1,4 @@
-package assembler_test
+package deployer_test
 
 import (
 	"bytes"
--- a/local/assembler/layout.go
+++ b/local/deployer/layout.go
@@ -1,4 +1,4 @@
-package assembler
+package deployer
 
 import (
 	"net/netip"
--- a/local/measurecommand.go
+++ b/local/measurecommand.go
@@ -13,8 +13,8 @@
 
 	"github.com/cockroachdb/errors"
 
-	"oleandertally/local/assembler"
 	"oleandertally/local/counter"
+	"oleandertally/local/deployer"
 	"oleandertally/local/emulator"
 	"oleandertally/local/submitter"
 	"oleandertally/replay/tracer"
@@ -71,7 +71,7 @@
 // measure runs one demand on a site of its own.
 func (c *measureCommand) measure(ctx context.Context, demand float64) (measurement, error) {
 	trace := c.trace(demand)
-	claim, err := assembler.NewClaim()
+	claim, err := deployer.NewClaim()
 	if err != nil {
 		return measurement{}, err
 	}
@@ -97,7 +97,7 @@
 	return m, nil
 }
 
-func (c *measureCommand) send(ctx context.Context, site *assembler.Site, messages *counter.Counter, trace tracer.Trace) (measurement, error) {
+func (c *measureCommand) send(ctx context.Context, site *deployer.Site, messages *counter.Counter, trace tracer.Trace) (measurement, error) {
 	sender := &submitter.Submitter{Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}, Prefix: trace.Name}
 	for i := range site.Entries {
 		sender.Entries = append(sender.Entries, site.Layout.Entry(i))
--- a/local/replaycommand.go
+++ b/local/replaycommand.go
@@ -13,7 +13,7 @@
 	"github.com/rs/zerolog"
 
 	"oleandertally/core/specifier"
-	"oleandertally/local/assembler"
+	"oleandertally/local/deployer"
 	"oleandertally/local/emulator"
 	"oleandertally/local/submitter"
 	"oleandertally/replay/tracer"
@@ -60,7 +60,7 @@
 	site := c.site(starts)
 	site.DataFolder = folder
 	if !c.serve {
-		claim, err := assembler.NewClaim()
+		claim, err := deployer.NewClaim()
 		if err != nil {
 			return 0, err
 		}
@@ -99,7 +99,7 @@
 }
 
 // stop ends a site without cutting off what is in flight.
-func (c *replayCommand) stop(site *assembler.Site) error {
+func (c *replayCommand) stop(site *deployer.Site) error {
 	ctx, cancel := context.WithTimeout(context.Background(), stopBound)
 	defer cancel()
 	return errors.CombineErrors(site.Drain(ctx), site.Stop())
@@ -116,14 +116,14 @@
 }
 
 // site has the zones, racks and slots of Alisio today, on the fixed addresses of -serve.
-func (c *replayCommand) site(starts *emulator.StartLog) *assembler.Site {
+func (c *replayCommand) site(starts *emulator.StartLog) *deployer.Site {
 	base := netip.AddrFrom4([4]byte{127, 1, 0, 0})
 	log := zerolog.Nop()
 	if c.verbose {
 		log = zerolog.New(os.Stderr).With().Timestamp().Logger()
 	}
-	return &assembler.Site{
-		Layout: assembler.Layout{Base: base}, Zones: []string{"alajuela", "heredia", "cartago"}, Service: "reservas",
+	return &deployer.Site{
+		Layout: deployer.Layout{Base: base}, Zones: []string{"alajuela", "heredia", "cartago"}, Service: "reservas",
 		Entries: 2, Controllers: 3, Workers: 11, MemberLease: 3 * time.Second, Starts: starts, Log: log,
 		Profiles: []specifier.Profile{
 			{Name: "hold", Service: "reservas"},
@@ -134,7 +134,7 @@
 	}
 }
 
-func (c *replayCommand) printAddresses(site *assembler.Site) {
+func (c *replayCommand) printAddresses(site *deployer.Site) {
 	fmt.Fprintf(c.out, "ready; stop with Ctrl-C\n")
 	for i := range site.Entries {
 		fmt.Fprintf(c.out, "entry-%d       http://%s/v1/jobs\n", i+1, site.Layout.Entry(i))
--- a/local/report.go
+++ b/local/report.go
@@ -11,7 +11,7 @@
 	"oleandertally/core/recorder"
 	"oleandertally/core/specifier"
 	"oleandertally/core/verifier"
-	"oleandertally/local/assembler"
+	"oleandertally/local/deployer"
 	"oleandertally/local/emulator"
 	"oleandertally/local/submitter"
 	"oleandertally/replay/tracer"
@@ -32,7 +32,7 @@
 	broken   []string
 }
 
-func newReport(trace tracer.Trace, results []submitter.Result, site *assembler.Site, starts *emulator.StartLog, took time.Duration) *report {
+func newReport(trace tracer.Trace, results []submitter.Result, site *deployer.Site, starts *emulator.StartLog, took time.Duration) *report {
 	r := &report{trace: trace, results: results, took: took, slots: site.Slots(), outcomes: make(map[string]int), byWorker: make(map[string]int)}
 	events, dropped := site.Events()
 	for _, result := range results {
