--- a/agent/runner/agent.go
+++ b/agent/runner/agent.go
@@ -65,7 +65,7 @@
 	mailbox       *looper.Mailbox[executor.Event]
 	links         *listener.Links
 	invoker       *invoker.Invoker
-	attender      *registrant.Attender
+	attender      *registrant.Registrant
 	lease         *registrant.Lease
 	pings         pings
 	pool          *dialer.Pool
--- a/core/registrant/notice.go
+++ b/core/registrant/notice.go
@@ -6,7 +6,7 @@
 	"oleandertally/core/specifier"
 )
 
-// Notice is what the attender learned.
+// Notice is what the registrant learned.
 type Notice struct {
 	Self    specifier.Identity
 	Members []specifier.Member // every member that is known; nil when unchanged
--- a/core/registrant/attender.go
+++ b/core/registrant/registrant.go
@@ -23,8 +23,8 @@
 	redialBound = 200 * time.Millisecond
 )
 
-// Attender attends for one member. Exported fields are set before Run.
-type Attender struct {
+// Registrant attends for one member. Exported fields are set before Run.
+type Registrant struct {
 	Member      specifier.Member // its incarnation is replaced when the controllers expel it
 	Controllers []netip.AddrPort
 	Pool        *dialer.Pool
@@ -41,35 +41,35 @@
 	sent     time.Time // of the presence that is not answered yet
 }
 
-// New returns an attender whose fields are still to be set.
-func New() *Attender { return &Attender{changes: make(chan specifier.Member, 1)} }
+// New returns a registrant whose fields are still to be set.
+func New() *Registrant { return &Registrant{changes: make(chan specifier.Member, 1)} }
 
 // Announce replaces what is announced, but for the identity. Only the newest one counts.
-func (a *Attender) Announce(member specifier.Member) {
+func (r *Registrant) Announce(member specifier.Member) {
 	select {
-	case <-a.changes:
+	case <-r.changes:
 	default:
 	}
-	a.changes <- member
+	r.changes <- member
 }
 
 // Run attends until ctx ends.
-func (a *Attender) Run(ctx context.Context) error {
-	if len(a.Controllers) == 0 {
+func (r *Registrant) Run(ctx context.Context) error {
+	if len(r.Controllers) == 0 {
 		return errors.New("attender: Controllers: is empty, expected at least one address")
 	}
 	next := 0
-	addr := a.Controllers[0]
+	addr := r.Controllers[0]
 	for ctx.Err() == nil {
-		leader, err := a.session(ctx, addr)
+		leader, err := r.session(ctx, addr)
 		if leader.IsValid() {
 			addr = leader
 		} else {
-			next = (next + 1) % len(a.Controllers)
-			addr = a.Controllers[next]
+			next = (next + 1) % len(r.Controllers)
+			addr = r.Controllers[next]
 		}
 		if err != nil && ctx.Err() == nil {
-			a.Log.Debug().Err(err).Str("Peer", addr.String()).Msg("attendance ended")
+			r.Log.Debug().Err(err).Str("Peer", addr.String()).Msg("attendance ended")
 		}
 		looper.Pause(ctx, time.Duration(rand.Int64N(int64(redialBound))))
 	}
@@ -77,7 +77,7 @@
 }
 
 // RunUntil attends until leave is closed, and then returns nil, or until ctx ends.
-func (a *Attender) RunUntil(ctx context.Context, leave <-chan struct{}) error {
+func (r *Registrant) RunUntil(ctx context.Context, leave <-chan struct{}) error {
 	attending, cancel := context.WithCancel(ctx)
 	defer cancel()
 	group, _ := errgroup.WithContext(ctx)
@@ -89,7 +89,7 @@
 		}
 		return nil
 	})
-	err := a.Run(attending)
+	err := r.Run(attending)
 	cancel()
 	_ = group.Wait()
 	if ctx.Err() == nil && errors.Is(err, context.Canceled) {
@@ -99,8 +99,8 @@
 }
 
 // session attends at one controller. It returns the leader that the controller names, if any.
-func (a *Attender) session(ctx context.Context, addr netip.AddrPort) (leader netip.AddrPort, err error) {
-	conn, err := a.Pool.Conn(addr)
+func (r *Registrant) session(ctx context.Context, addr netip.AddrPort) (leader netip.AddrPort, err error) {
+	conn, err := r.Pool.Conn(addr)
 	if err != nil {
 		return leader, err
 	}
@@ -131,17 +131,17 @@
 	})
 	group.Go(func() error {
 		defer cancel()
-		leader, err = a.converse(groupCtx, stream, updates)
+		leader, err = r.converse(groupCtx, stream, updates)
 		return err
 	})
 	return leader, group.Wait()
 }
 
 // converse sends presences and handles updates until the session ends.
-func (a *Attender) converse(ctx context.Context, stream encoder.Registry_AttendClient, updates <-chan specifier.Update) (netip.AddrPort, error) {
+func (r *Registrant) converse(ctx context.Context, stream encoder.Registry_AttendClient, updates <-chan specifier.Update) (netip.AddrPort, error) {
 	var none netip.AddrPort
-	a.sent = time.Time{}
-	if err := a.send(stream, true); err != nil {
+	r.sent = time.Time{}
+	if err := r.send(stream, true); err != nil {
 		return none, err
 	}
 	timer := time.NewTimer(answerBound)
@@ -150,18 +150,18 @@
 		select {
 		case <-ctx.Done():
 			return none, context.Cause(ctx)
-		case member := <-a.changes:
-			member.Identity = a.Member.Identity
-			a.Member = member
-			if err := a.send(stream, true); err != nil {
+		case member := <-r.changes:
+			member.Identity = r.Member.Identity
+			r.Member = member
+			if err := r.send(stream, true); err != nil {
 				return none, err
 			}
 			timer.Reset(answerBound)
 		case <-timer.C:
-			if !a.sent.IsZero() {
+			if !r.sent.IsZero() {
 				return none, errors.New("attender: the controller did not answer in time")
 			}
-			if err := a.send(stream, false); err != nil {
+			if err := r.send(stream, false); err != nil {
 				return none, err
 			}
 			timer.Reset(answerBound)
@@ -170,47 +170,47 @@
 				return update.Leader, errors.New("attender: the controller does not lead")
 			}
 			if update.Expelled {
-				a.Member.Incarnation = specifier.Incarnation(rand.Uint64())
+				r.Member.Incarnation = specifier.Incarnation(rand.Uint64())
 				return none, errors.New("attender: this incarnation is recorded as Down")
 			}
-			if err := a.handle(ctx, update, timer); err != nil {
+			if err := r.handle(ctx, update, timer); err != nil {
 				return none, err
 			}
 		}
 	}
 }
 
-func (a *Attender) handle(ctx context.Context, update specifier.Update, timer *time.Timer) error {
-	notice := Notice{Self: a.Member.Identity, Members: a.roster.merge(update), Version: a.roster.version}
-	if update.Configuration != nil && update.Configuration.Revision > a.revision {
-		a.revision = update.Configuration.Revision
+func (r *Registrant) handle(ctx context.Context, update specifier.Update, timer *time.Timer) error {
+	notice := Notice{Self: r.Member.Identity, Members: r.roster.merge(update), Version: r.roster.version}
+	if update.Configuration != nil && update.Configuration.Revision > r.revision {
+		r.revision = update.Configuration.Revision
 		notice.Configuration = update.Configuration
 	}
-	if update.Lease > 0 && !a.sent.IsZero() {
-		notice.Until = a.sent.Add(update.Lease)
+	if update.Lease > 0 && !r.sent.IsZero() {
+		notice.Until = r.sent.Add(update.Lease)
 		notice.Shares = update.Shares
-		a.sent = time.Time{}
+		r.sent = time.Time{}
 		timer.Reset(update.Lease / 3)
 	}
-	return a.Notify(ctx, notice)
+	return r.Notify(ctx, notice)
 }
 
-func (a *Attender) send(stream encoder.Registry_AttendClient, whole bool) error {
-	presence := specifier.Presence{Revision: a.revision}
+func (r *Registrant) send(stream encoder.Registry_AttendClient, whole bool) error {
+	presence := specifier.Presence{Revision: r.revision}
 	if whole {
-		member := a.Member
+		member := r.Member
 		presence.Member = &member
 	}
-	if a.Needs != nil {
-		presence.Needs = a.Needs()
+	if r.Needs != nil {
+		presence.Needs = r.Needs()
 	}
-	if a.Load != nil {
-		presence.Load = a.Load()
+	if r.Load != nil {
+		presence.Load = r.Load()
 	}
 	// While an answer is outstanding the earlier time stands, so that a lease is never counted
 	// from a later presence than the one it answers.
-	if a.sent.IsZero() {
-		a.sent = time.Now()
+	if r.sent.IsZero() {
+		r.sent = time.Now()
 	}
 	return errors.Wrap(stream.Send(encoder.EncodePresence(presence)), "attender: send")
 }
