--- a/agent/leaserunner/tender.go
+++ b/agent/leaserunner/tender.go
@@ -43,7 +43,7 @@
 	Noted       func(leaseholder.Note) // told of each decision; must not block; nil for nobody
 
 	mailbox *looper.Mailbox[event]
-	seeker  *locator.Seeker[*encoder.QueueOrder, *encoder.QueueReport]
+	seeker  *locator.Locator[*encoder.QueueOrder, *encoder.QueueReport]
 	calls   *errgroup.Group
 	ctx     context.Context
 }
@@ -59,7 +59,7 @@
 		return errors.New("tender: GrantSpan, HoldMost: expected more than 0")
 	}
 	t.mailbox = looper.NewMailbox[event](mailboxSize)
-	t.seeker = &locator.Seeker[*encoder.QueueOrder, *encoder.QueueReport]{
+	t.seeker = &locator.Locator[*encoder.QueueOrder, *encoder.QueueReport]{
 		Seeds: t.Seeds, Credentials: t.Credentials, Silence: silence,
 		Open: func(ctx context.Context, conn *grpc.ClientConn) (locator.Stream[*encoder.QueueOrder, *encoder.QueueReport], error) {
 			return encoder.NewQueueKeeperClient(conn).Attend(ctx)
--- a/core/locator/seeker.go
+++ b/core/locator/locator.go
@@ -33,9 +33,9 @@
 // errNotLeading ends a stream to a controller that does not lead.
 var errNotLeading = errors.New("the controller does not lead")
 
-// Seeker keeps a stream to the leading controller. Exported fields are set before Run. Linked, Received and Unlinked are called
+// Locator keeps a stream to the leading controller. Exported fields are set before Run. Linked, Received and Unlinked are called
 // by Run, one at a time.
-type Seeker[In, Out any] struct {
+type Locator[In, Out any] struct {
 	Seeds       []netip.AddrPort
 	Credentials credentials.TransportCredentials
 	Silence     time.Duration // without a message for this long a stream counts as broken
@@ -51,14 +51,14 @@
 }
 
 // Run returns the context's error when ctx ends.
-func (s *Seeker[In, Out]) Run(ctx context.Context) error {
-	s.book.seeds = s.Seeds
+func (l *Locator[In, Out]) Run(ctx context.Context) error {
+	l.book.seeds = l.Seeds
 	for ctx.Err() == nil {
-		addr := s.pick()
+		addr := l.pick()
 		if addr.IsValid() {
-			_ = s.session(ctx, addr) // Unlinked gets the cause
+			_ = l.session(ctx, addr) // Unlinked gets the cause
 		}
-		if s.hasLeader() {
+		if l.hasLeader() {
 			continue
 		}
 		looper.Pause(ctx, time.Duration(rand.Int64N(int64(pauseMost))))
@@ -66,56 +66,56 @@
 	return context.Cause(ctx)
 }
 
-func (s *Seeker[In, Out]) pick() netip.AddrPort {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.book.pick()
+func (l *Locator[In, Out]) pick() netip.AddrPort {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	return l.book.pick()
 }
 
-func (s *Seeker[In, Out]) hasLeader() bool {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.book.leader.IsValid()
+func (l *Locator[In, Out]) hasLeader() bool {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	return l.book.leader.IsValid()
 }
 
 // SetSeeds replaces the addresses of the settings.
-func (s *Seeker[In, Out]) SetSeeds(seeds []netip.AddrPort) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.book.seeds = seeds
+func (l *Locator[In, Out]) SetSeeds(seeds []netip.AddrPort) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.book.seeds = seeds
 }
 
 // Known returns the leader, or the zero address while none is linked, and the controllers that one of them told last.
-func (s *Seeker[In, Out]) Known() (leader netip.AddrPort, controllers []netip.AddrPort) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.book.linked, s.book.known
+func (l *Locator[In, Out]) Known() (leader netip.AddrPort, controllers []netip.AddrPort) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	return l.book.linked, l.book.known
 }
 
-func (s *Seeker[In, Out]) setLinked(addr netip.AddrPort) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.book.linked = addr
+func (l *Locator[In, Out]) setLinked(addr netip.AddrPort) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.book.linked = addr
 }
 
-func (s *Seeker[In, Out]) learn(m *encoder.QueueWelcome, at netip.AddrPort) {
+func (l *Locator[In, Out]) learn(m *encoder.QueueWelcome, at netip.AddrPort) {
 	var controllers []netip.AddrPort
 	for _, text := range m.Controllers {
 		if addr, err := netip.ParseAddrPort(text); err == nil {
 			controllers = append(controllers, addr)
 		}
 	}
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.book.learn(controllers)
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.book.learn(controllers)
 	if leader, err := netip.ParseAddrPort(m.Leader); err == nil && leader != at && !m.Leading {
-		s.book.leader = leader
+		l.book.leader = leader
 	}
 }
 
 // session runs one stream. Every session has a connection of its own: a connection can go silent while new ones work.
-func (s *Seeker[In, Out]) session(ctx context.Context, addr netip.AddrPort) error {
-	conn, err := grpc.NewClient("passthrough:///"+addr.String(), grpc.WithTransportCredentials(s.Credentials),
+func (l *Locator[In, Out]) session(ctx context.Context, addr netip.AddrPort) error {
+	conn, err := grpc.NewClient("passthrough:///"+addr.String(), grpc.WithTransportCredentials(l.Credentials),
 		grpc.WithContextDialer(dialer(addr)), grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(encoder.MaxMessage), grpc.MaxCallSendMsgSize(encoder.MaxMessage)))
 	if err != nil {
 		return errors.Wrapf(err, "seeker: connect to %s", addr)
@@ -126,60 +126,60 @@
 	defer cancel(nil)
 	watchdog := time.AfterFunc(answerWithin, func() { cancel(errors.Newf("seeker: %s is silent", addr)) })
 	defer watchdog.Stop()
-	stream, err := s.Open(ctx, conn)
+	stream, err := l.Open(ctx, conn)
 	if err != nil {
 		return errors.Wrapf(err, "seeker: open a stream to %s", addr)
 	}
-	if err := s.await(stream, addr, watchdog); err != nil {
+	if err := l.await(stream, addr, watchdog); err != nil {
 		return err
 	}
-	s.setLinked(addr)
-	defer s.setLinked(netip.AddrPort{})
+	l.setLinked(addr)
+	defer l.setLinked(netip.AddrPort{})
 	box := looper.NewOutbox[Out]()
-	if err := s.Linked(ctx, addr, box); err != nil {
+	if err := l.Linked(ctx, addr, box); err != nil {
 		return err
 	}
-	group.Go(func() error { return s.send(ctx, stream, box) })
+	group.Go(func() error { return l.send(ctx, stream, box) })
 	group.Go(func() error {
-		err := s.receive(ctx, stream, addr, watchdog)
+		err := l.receive(ctx, stream, addr, watchdog)
 		cancel(err)
 		return err
 	})
 	err = group.Wait()
-	return errors.CombineErrors(s.Unlinked(context.WithoutCancel(ctx), err), err)
+	return errors.CombineErrors(l.Unlinked(context.WithoutCancel(ctx), err), err)
 }
 
 // await returns nil once the controller leads. At a follower it waits for news of a leader.
-func (s *Seeker[In, Out]) await(stream Stream[In, Out], addr netip.AddrPort, watchdog *time.Timer) error {
+func (l *Locator[In, Out]) await(stream Stream[In, Out], addr netip.AddrPort, watchdog *time.Timer) error {
 	for {
 		message, err := stream.Recv()
 		if err != nil {
 			return err
 		}
-		m := s.Welcome(message)
+		m := l.Welcome(message)
 		if m == nil {
 			continue
 		}
-		s.learn(m, addr)
+		l.learn(m, addr)
 		if m.Leading {
-			watchdog.Reset(s.Silence)
+			watchdog.Reset(l.Silence)
 			return nil
 		}
-		if s.hasLeader() {
+		if l.hasLeader() {
 			return errNotLeading
 		}
 		watchdog.Reset(newsWithin)
 	}
 }
 
-func (s *Seeker[In, Out]) send(ctx context.Context, stream Stream[In, Out], box *looper.Outbox[Out]) error {
+func (l *Locator[In, Out]) send(ctx context.Context, stream Stream[In, Out], box *looper.Outbox[Out]) error {
 	for {
 		items, err := box.Take(ctx)
 		if err != nil {
 			return err
 		}
-		if s.Merge != nil {
-			items = s.Merge(items)
+		if l.Merge != nil {
+			items = l.Merge(items)
 		}
 		for _, item := range items {
 			if err := stream.Send(item); err != nil {
@@ -189,20 +189,20 @@
 	}
 }
 
-func (s *Seeker[In, Out]) receive(ctx context.Context, stream Stream[In, Out], addr netip.AddrPort, watchdog *time.Timer) error {
+func (l *Locator[In, Out]) receive(ctx context.Context, stream Stream[In, Out], addr netip.AddrPort, watchdog *time.Timer) error {
 	for {
 		message, err := stream.Recv()
 		if err != nil {
 			return err
 		}
-		watchdog.Reset(s.Silence)
-		if m := s.Welcome(message); m != nil {
-			s.learn(m, addr)
+		watchdog.Reset(l.Silence)
+		if m := l.Welcome(message); m != nil {
+			l.learn(m, addr)
 			if !m.Leading {
 				return errNotLeading
 			}
 		}
-		if err := s.Received(ctx, message); err != nil {
+		if err := l.Received(ctx, message); err != nil {
 			return err
 		}
 	}
--- a/entry/requester/requester.go
+++ b/entry/requester/requester.go
@@ -29,13 +29,13 @@
 	Changed func(controller netip.AddrPort, cause error)
 
 	mailbox *looper.Mailbox[event]
-	seeker  *locator.Seeker[*encoder.QueueReplies, *encoder.QueueCalls]
+	seeker  *locator.Locator[*encoder.QueueReplies, *encoder.QueueCalls]
 }
 
 // Open prepares the requester for calls, which wait until it runs.
 func (r *Requester) Open() {
 	r.mailbox = looper.NewMailbox[event](mailboxSize)
-	r.seeker = &locator.Seeker[*encoder.QueueReplies, *encoder.QueueCalls]{
+	r.seeker = &locator.Locator[*encoder.QueueReplies, *encoder.QueueCalls]{
 		Seeds: r.Seeds, Credentials: r.Credentials, Silence: silence,
 		Open: func(ctx context.Context, conn *grpc.ClientConn) (locator.Stream[*encoder.QueueReplies, *encoder.QueueCalls], error) {
 			return encoder.NewQueueKeeperClient(conn).Call(ctx)
