--- a/agent/leaserunner/tender.go
+++ b/agent/leaserunner/runner.go
@@ -30,8 +30,8 @@
 	holdWithin = 50 * time.Millisecond
 )
 
-// Tender is the process beside a worker. Exported fields are set before Run.
-type Tender struct {
+// Runner is the process beside a worker. Exported fields are set before Run.
+type Runner struct {
 	Name        string
 	Seeds       []netip.AddrPort // controllers to ask first
 	Credentials credentials.TransportCredentials
@@ -49,69 +49,69 @@
 }
 
 // Open prepares the agent for events, which wait until it runs. It returns an error that names the first field that is missing.
-func (t *Tender) Open() error {
+func (r *Runner) Open() error {
 	switch {
-	case t.Name == "":
+	case r.Name == "":
 		return errors.New("tender: Name: is empty")
-	case t.Worker == nil, t.Clock == nil, t.Credentials == nil:
+	case r.Worker == nil, r.Clock == nil, r.Credentials == nil:
 		return errors.New("tender: Worker, Clock, Credentials: must be set")
-	case t.GrantSpan <= 0, t.HoldMost <= 0:
+	case r.GrantSpan <= 0, r.HoldMost <= 0:
 		return errors.New("tender: GrantSpan, HoldMost: expected more than 0")
 	}
-	t.mailbox = looper.NewMailbox[event](mailboxSize)
-	t.seeker = &locator.Locator[*encoder.QueueOrder, *encoder.QueueReport]{
-		Seeds: t.Seeds, Credentials: t.Credentials, Silence: silence,
+	r.mailbox = looper.NewMailbox[event](mailboxSize)
+	r.seeker = &locator.Locator[*encoder.QueueOrder, *encoder.QueueReport]{
+		Seeds: r.Seeds, Credentials: r.Credentials, Silence: silence,
 		Open: func(ctx context.Context, conn *grpc.ClientConn) (locator.Stream[*encoder.QueueOrder, *encoder.QueueReport], error) {
 			return encoder.NewQueueKeeperClient(conn).Attend(ctx)
 		},
 		Welcome: (*encoder.QueueOrder).GetWelcome,
 		Linked: func(ctx context.Context, controller netip.AddrPort, box *looper.Outbox[*encoder.QueueReport]) error {
-			t.Log.Info().Str("Event", "LeaderFound").Stringer("Controller", controller).Send()
-			return t.mailbox.Send(ctx, event{box: box})
+			r.Log.Info().Str("Event", "LeaderFound").Stringer("Controller", controller).Send()
+			return r.mailbox.Send(ctx, event{box: box})
 		},
 		Received: func(ctx context.Context, message *encoder.QueueOrder) error {
 			if message.Welcome != nil {
 				return nil
 			}
-			return t.mailbox.Send(ctx, event{control: leaseholder.Ordered{Order: encoder.DecodeLeaseOrder(message)}})
+			return r.mailbox.Send(ctx, event{control: leaseholder.Ordered{Order: encoder.DecodeLeaseOrder(message)}})
 		},
 		Unlinked: func(ctx context.Context, cause error) error {
-			t.Log.Warn().Str("Event", "LeaderLost").AnErr("Error", cause).Send()
-			return t.mailbox.Send(ctx, event{unlink: true})
+			r.Log.Warn().Str("Event", "LeaderLost").AnErr("Error", cause).Send()
+			return r.mailbox.Send(ctx, event{unlink: true})
 		},
 	}
 	return nil
 }
 
 // Run serves until ctx ends. Open comes first.
-func (t *Tender) Run(ctx context.Context) error {
+func (r *Runner) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	t.calls, t.ctx = group, ctx
-	holder := &leaseholder.LeaseHolder{Name: t.Name, Incarnation: specifier.Incarnation(rand.Uint64()), GrantSpan: t.GrantSpan,
-		HoldMost: t.HoldMost, Began: t.Clock()}
-	loop := &looper.Loop[event, action]{Machine: &machine{holder: holder}, Mailbox: t.mailbox, Perform: t.perform, Clock: t.Clock}
+	r.calls, r.ctx = group, ctx
+	holder := &leaseholder.LeaseHolder{Name: r.Name, Incarnation: specifier.Incarnation(rand.Uint64()), GrantSpan: r.GrantSpan,
+		HoldMost: r.HoldMost, Began: r.Clock()}
+	loop := &looper.Loop[event, action]{Machine: &machine{holder: holder}, Mailbox: r.mailbox, Perform: r.perform, Clock: r.Clock}
 	group.Go(func() error { return loop.Run(ctx) })
-	group.Go(func() error { return t.seeker.Run(ctx) })
+	group.Go(func() error { return r.seeker.Run(ctx) })
 	return group.Wait()
 }
 
 // SetSeeds replaces the controllers to ask first.
-func (t *Tender) SetSeeds(seeds []netip.AddrPort) { t.seeker.SetSeeds(seeds) }
+func (r *Runner) SetSeeds(seeds []netip.AddrPort) { r.seeker.SetSeeds(seeds) }
 
 // Announced passes on what the worker says of itself.
-func (t *Tender) Announced(ctx context.Context, announced leaseholder.Announced) error {
-	return t.mailbox.Send(ctx, event{control: announced})
+func (r *Runner) Announced(ctx context.Context, announced leaseholder.Announced) error {
+	return r.mailbox.Send(ctx, event{control: announced})
 }
 
 // Departed passes on that the worker ends.
-func (t *Tender) Departed(ctx context.Context, id string) error {
-	return t.mailbox.Send(ctx, event{control: leaseholder.Departed{ID: id}})
+func (r *Runner) Departed(ctx context.Context, id string) error {
+	return r.mailbox.Send(ctx, event{control: leaseholder.Departed{ID: id}})
 }
 
 // Leave takes no more starts, and returns when nothing runs any more.
-func (t *Tender) Leave(ctx context.Context) error {
+func (r *Runner) Leave(ctx context.Context) error {
 	idle := make(chan struct{})
-	if err := t.mailbox.Send(ctx, event{idle: idle}); err != nil {
+	if err := r.mailbox.Send(ctx, event{idle: idle}); err != nil {
 		return err
 	}
 	select {
@@ -123,7 +123,7 @@
 }
 
 // perform runs on the control goroutine and does not block.
-func (t *Tender) perform(a action) {
+func (r *Runner) perform(a action) {
 	if a.idle != nil {
 		close(a.idle)
 		return
@@ -134,30 +134,30 @@
 			a.box.Put(encoder.EncodeLeaseReport(control.Report))
 		}
 	case leaseholder.Start:
-		t.call(startWithin, func(ctx context.Context) leaseholder.Event { return t.Worker.Start(ctx, control) })
+		r.call(startWithin, func(ctx context.Context) leaseholder.Event { return r.Worker.Start(ctx, control) })
 	case leaseholder.Stop:
-		t.call(stopWithin, func(ctx context.Context) leaseholder.Event { return t.Worker.Stop(ctx, control) })
+		r.call(stopWithin, func(ctx context.Context) leaseholder.Event { return r.Worker.Stop(ctx, control) })
 	case leaseholder.Hold:
-		t.call(control.Wait+holdWithin, func(ctx context.Context) leaseholder.Event { return t.Worker.Hold(ctx, control) })
+		r.call(control.Wait+holdWithin, func(ctx context.Context) leaseholder.Event { return r.Worker.Hold(ctx, control) })
 	case leaseholder.Note:
-		t.logNote(control)
+		r.logNote(control)
 	}
 }
 
 // call makes one call to the worker on a goroutine of its own.
-func (t *Tender) call(within time.Duration, make func(ctx context.Context) leaseholder.Event) {
-	t.calls.Go(func() error {
-		ctx, cancel := context.WithTimeout(t.ctx, within)
+func (r *Runner) call(within time.Duration, make func(ctx context.Context) leaseholder.Event) {
+	r.calls.Go(func() error {
+		ctx, cancel := context.WithTimeout(r.ctx, within)
 		defer cancel()
-		return t.mailbox.Send(t.ctx, event{control: make(ctx)})
+		return r.mailbox.Send(r.ctx, event{control: make(ctx)})
 	})
 }
 
-func (t *Tender) logNote(note leaseholder.Note) {
-	if t.Noted != nil {
-		t.Noted(note)
+func (r *Runner) logNote(note leaseholder.Note) {
+	if r.Noted != nil {
+		r.Noted(note)
 	}
-	line := t.Log.Info().Str("Event", note.Event)
+	line := r.Log.Info().Str("Event", note.Event)
 	if note.Task != "" {
 		line = line.Str("Job", jobOf(note.Task)).Str("Task", note.Task).Uint64("Run", note.Run)
 	}
