--- a/controller/redirector/referrer.go
+++ b/controller/redirector/redirector.go
@@ -14,8 +14,8 @@
 	"oleandertally/state/transporter"
 )
 
-// Referrer answers for the controllers that it knows. Exported fields are set before Run.
-type Referrer struct {
+// Redirector answers for the controllers that it knows. Exported fields are set before Run.
+type Redirector struct {
 	Addr        netip.AddrPort
 	Credentials credentials.TransportCredentials
 	// Known returns the leading controller, or the zero address, and the controllers that it named last.
@@ -25,7 +25,7 @@
 }
 
 // Check returns an error that names the first field that is not set.
-func (r *Referrer) Check() error {
+func (r *Redirector) Check() error {
 	switch {
 	case !r.Addr.IsValid():
 		return errors.New("referrer: Addr: is not set")
@@ -38,7 +38,7 @@
 }
 
 // Open listens at Addr.
-func (r *Referrer) Open() error {
+func (r *Redirector) Open() error {
 	if err := r.Check(); err != nil {
 		return err
 	}
@@ -48,7 +48,7 @@
 }
 
 // Run serves until ctx ends. Open comes first.
-func (r *Referrer) Run(ctx context.Context) error {
+func (r *Redirector) Run(ctx context.Context) error {
 	server := dialer.NewServer(r.Credentials)
 	encoder.RegisterQueueKeeperServer(server, &queues{known: r.Known})
 	transporter.RegisterReplicaServer(server, &replica{known: r.Known})
--- a/controller/redirector/referrer_test.go
+++ b/controller/redirector/redirector_test.go
@@ -20,10 +20,10 @@
 	other  = netip.MustParseAddrPort("127.7.7.2:7000")
 )
 
-// connect runs a referrer that knows two controllers, and returns a connection to it.
+// connect runs a redirector that knows two controllers, and returns a connection to it.
 func connect(t *testing.T) *grpc.ClientConn {
 	t.Helper()
-	r := &Referrer{Addr: netip.MustParseAddrPort("127.0.0.1:0"), Credentials: insecure.NewCredentials(),
+	r := &Redirector{Addr: netip.MustParseAddrPort("127.0.0.1:0"), Credentials: insecure.NewCredentials(),
 		Known: func() (netip.AddrPort, []netip.AddrPort) { return leader, []netip.AddrPort{leader, other} }}
 	must.NoError(t, r.Open())
 	ctx, cancel := context.WithCancel(context.Background())
@@ -77,6 +77,6 @@
 
 // Guards against a field that is left out and found only when a stream fails.
 func TestCheck(t *testing.T) {
-	must.ErrorContains(t, (&Referrer{}).Open(), "Addr")
-	must.ErrorContains(t, (&Referrer{Addr: leader}).Open(), "Credentials")
+	must.ErrorContains(t, (&Redirector{}).Open(), "Addr")
+	must.ErrorContains(t, (&Redirector{Addr: leader}).Open(), "Credentials")
 }
