--- a/controller/driver/image.go
+++ b/controller/driver/image.go
@@ -26,7 +26,7 @@
 }
 
 // DecodeImage reads what Encode wrote.
-func DecodeImage(content []byte, retention time.Duration) (*jobrecorder.Keeper, *registrar.Registrar, error) {
+func DecodeImage(content []byte, retention time.Duration) (*jobrecorder.Recorder, *registrar.Registrar, error) {
 	reader := bytes.NewReader(content)
 	queues, err := jobrecorder.Read(reader, retention)
 	if err != nil {
--- a/state/jobrecorder/image.go
+++ b/state/jobrecorder/image.go
@@ -21,10 +21,10 @@
 var ErrImage = errors.New("keeper: the encoded state of the queues is damaged")
 
 // Image returns the state as a message that does not change while later commands are applied.
-func (k *Keeper) Image() *encoder.QueueImage {
-	m := &encoder.QueueImage{Manifest: encoder.EncodeManifest(k.manifest), Roster: k.Roster(), Now: k.now.UnixNano()}
-	for _, id := range slices.Sorted(maps.Keys(k.jobs)) {
-		record := k.jobs[id]
+func (r *Recorder) Image() *encoder.QueueImage {
+	m := &encoder.QueueImage{Manifest: encoder.EncodeManifest(r.manifest), Roster: r.Roster(), Now: r.now.UnixNano()}
+	for _, id := range slices.Sorted(maps.Keys(r.jobs)) {
+		record := r.jobs[id]
 		each := &encoder.QueueRecord{Job: encoder.EncodeQueuedJob(&record.Job), State: uint32(record.State)}
 		if record.State.Ended() {
 			each.Ended = record.Ended.UnixNano()
@@ -55,7 +55,7 @@
 }
 
 // Read reads what Write wrote. A reader at its end gives the empty state.
-func Read(r protodelim.Reader, retention time.Duration) (*Keeper, error) {
+func Read(r protodelim.Reader, retention time.Duration) (*Recorder, error) {
 	k := New(retention)
 	m := &encoder.QueueImage{}
 	err := protodelim.UnmarshalOptions{MaxSize: maxImage}.UnmarshalFrom(r, m)
@@ -81,12 +81,12 @@
 	return k, nil
 }
 
-func (k *Keeper) load(m *encoder.QueueRecord) error {
+func (r *Recorder) load(m *encoder.QueueRecord) error {
 	state := specifier.QueueState(m.State)
 	if state.Ended() {
-		k.jobs[m.GetJob().GetID()] = &Record{State: state, Ended: time.Unix(0, m.Ended),
+		r.jobs[m.GetJob().GetID()] = &Record{State: state, Ended: time.Unix(0, m.Ended),
 			Job: specifier.QueuedJob{ID: m.GetJob().GetID(), Queue: m.GetJob().GetQueue()}}
-		k.ended = append(k.ended, m.GetJob().GetID())
+		r.ended = append(r.ended, m.GetJob().GetID())
 		return nil
 	}
 	job, err := encoder.DecodeQueuedJob(m.Job)
@@ -113,6 +113,6 @@
 		at := place{int(end.Step), int(end.Index)}
 		record.failed[at] = append(record.failed[at], end.Run)
 	}
-	k.jobs[job.ID] = record
+	r.jobs[job.ID] = record
 	return nil
 }
--- a/state/jobrecorder/keeper.go
+++ b/state/jobrecorder/recorder.go
@@ -8,8 +8,8 @@
 	"oleandertally/core/specifier"
 )
 
-// Keeper applies committed commands. It is used by one goroutine.
-type Keeper struct {
+// Recorder applies committed commands. It is used by one goroutine.
+type Recorder struct {
 	// Retention is how long an ended job is remembered.
 	Retention time.Duration
 
@@ -21,21 +21,21 @@
 }
 
 // New returns the empty state.
-func New(retention time.Duration) *Keeper {
-	return &Keeper{Retention: retention, now: time.Unix(0, 0), manifest: &specifier.Manifest{},
+func New(retention time.Duration) *Recorder {
+	return &Recorder{Retention: retention, now: time.Unix(0, 0), manifest: &specifier.Manifest{},
 		jobs: make(map[string]*Record), roster: make(map[string]bool)}
 }
 
 // Manifest returns the one in force. It must not be changed; Version is 0 before the first.
-func (k *Keeper) Manifest() *specifier.Manifest { return k.manifest }
+func (r *Recorder) Manifest() *specifier.Manifest { return r.manifest }
 
 // Job returns the record of a job, or nil. It must not be changed.
-func (k *Keeper) Job(id string) *Record { return k.jobs[id] }
+func (r *Recorder) Job(id string) *Record { return r.jobs[id] }
 
 // Open returns the IDs of all jobs that have not ended, sorted.
-func (k *Keeper) Open() []string {
+func (r *Recorder) Open() []string {
 	var open []string
-	for id, record := range k.jobs {
+	for id, record := range r.jobs {
 		if !record.State.Ended() {
 			open = append(open, id)
 		}
@@ -45,40 +45,40 @@
 }
 
 // Enrolled reports whether the agent may run tasks.
-func (k *Keeper) Enrolled(agent string) bool { return k.roster[agent] }
+func (r *Recorder) Enrolled(agent string) bool { return r.roster[agent] }
 
 // Roster returns the agents that may run tasks, sorted.
-func (k *Keeper) Roster() []string { return slices.Sorted(maps.Keys(k.roster)) }
+func (r *Recorder) Roster() []string { return slices.Sorted(maps.Keys(r.roster)) }
 
 // Apply applies one command.
-func (k *Keeper) Apply(command specifier.QueueCommand) {
-	k.now = k.now.Add(max(command.Advance, 0))
-	k.forget()
+func (r *Recorder) Apply(command specifier.QueueCommand) {
+	r.now = r.now.Add(max(command.Advance, 0))
+	r.forget()
 	switch {
 	case command.Manifest != nil:
-		if command.Manifest.Version > k.manifest.Version {
-			k.manifest = command.Manifest
+		if command.Manifest.Version > r.manifest.Version {
+			r.manifest = command.Manifest
 		}
 	case command.Accept != nil:
-		if k.jobs[command.Accept.ID] == nil {
-			k.jobs[command.Accept.ID] = newRecord(*command.Accept)
+		if r.jobs[command.Accept.ID] == nil {
+			r.jobs[command.Accept.ID] = newRecord(*command.Accept)
 		}
 	case command.Cancel != "":
-		k.end(command.Cancel, specifier.JobCancelled)
+		r.end(command.Cancel, specifier.JobCancelled)
 	case command.Enroll != "":
-		k.roster[command.Enroll] = true
+		r.roster[command.Enroll] = true
 	case command.Dismiss != "":
-		delete(k.roster, command.Dismiss)
+		delete(r.roster, command.Dismiss)
 	}
 	for _, end := range command.Ends {
-		k.note(end)
+		r.note(end)
 	}
 }
 
 // note counts an end of a task. The end of a run that has been counted, of a task that is done, or of a job that has ended changes
 // nothing: successive leaders may record the same end.
-func (k *Keeper) note(end specifier.TaskEnd) {
-	record := k.jobs[end.Job]
+func (r *Recorder) note(end specifier.TaskEnd) {
+	record := r.jobs[end.Job]
 	if record == nil || !record.Counts(end) {
 		return
 	}
@@ -87,36 +87,36 @@
 	case specifier.EndDone:
 		record.Done[end.Step][end.Index] = true
 		if record.left--; record.left == 0 {
-			k.end(end.Job, specifier.JobCompleted)
+			r.end(end.Job, specifier.JobCompleted)
 		}
 	case specifier.EndFailed:
 		at := place{end.Step, end.Index}
 		record.failed[at] = append(record.failed[at], end.Run)
-		if len(record.failed[at]) >= k.attempts(record.Job.Queue) {
-			k.end(end.Job, specifier.JobFailed)
+		if len(record.failed[at]) >= r.attempts(record.Job.Queue) {
+			r.end(end.Job, specifier.JobFailed)
 		}
 	}
 }
 
 // attempts returns how many runs of a task of the queue may fail. A queue that was removed keeps one.
-func (k *Keeper) attempts(queue string) int {
-	known, _ := k.manifest.Named(queue)
+func (r *Recorder) attempts(queue string) int {
+	known, _ := r.manifest.Named(queue)
 	return max(known.MaxAttempts, 1)
 }
 
-func (k *Keeper) end(id string, state specifier.QueueState) {
-	record := k.jobs[id]
+func (r *Recorder) end(id string, state specifier.QueueState) {
+	record := r.jobs[id]
 	if record == nil || record.State.Ended() {
 		return
 	}
-	record.end(state, k.now)
-	k.ended = append(k.ended, id)
+	record.end(state, r.now)
+	r.ended = append(r.ended, id)
 }
 
 // forget drops the jobs that ended long ago.
-func (k *Keeper) forget() {
-	for len(k.ended) > 0 && k.jobs[k.ended[0]].Ended.Add(k.Retention).Before(k.now) {
-		delete(k.jobs, k.ended[0])
-		k.ended = k.ended[1:]
+func (r *Recorder) forget() {
+	for len(r.ended) > 0 && r.jobs[r.ended[0]].Ended.Add(r.Retention).Before(r.now) {
+		delete(r.jobs, r.ended[0])
+		r.ended = r.ended[1:]
 	}
 }
--- a/state/jobrecorder/keeper_test.go
+++ b/state/jobrecorder/recorder_test.go
@@ -16,8 +16,8 @@
 // runs numbers the runs of end, which never repeats one.
 var runs uint64
 
-// newKeeper returns a state with one queue and one accepted job of three tasks.
-func newKeeper() *Keeper {
+// newRecorder returns a state with one queue and one accepted job of three tasks.
+func newRecorder() *Recorder {
 	k := New(retention)
 	k.Apply(specifier.QueueCommand{Manifest: &specifier.Manifest{Version: 5, Document: []byte("five"), Queues: []specifier.Queue{{Name: "q", MaxAttempts: 2}}}})
 	k.Apply(specifier.QueueCommand{Accept: job("a")})
@@ -28,16 +28,16 @@
 	return &specifier.QueuedJob{ID: id, Queue: "q", Content: "c", Steps: []specifier.Step{{Count: 2}, {Count: 1, After: []int{0}}}}
 }
 
-func end(k *Keeper, step, index int, how specifier.EndKind) {
+func end(k *Recorder, step, index int, how specifier.EndKind) {
 	runs++
 	endOf(k, step, index, runs, how)
 }
 
-func endOf(k *Keeper, step, index int, run uint64, how specifier.EndKind) {
+func endOf(k *Recorder, step, index int, run uint64, how specifier.EndKind) {
 	k.Apply(specifier.QueueCommand{Ends: []specifier.TaskEnd{{Job: "a", Step: step, Index: index, Run: run, How: how}}})
 }
 
-func mustState(t *testing.T, k *Keeper, want specifier.QueueState) {
+func mustState(t *testing.T, k *Recorder, want specifier.QueueState) {
 	t.Helper()
 	must.NotNil(t, k.Job("a"))
 	must.Eq(t, want, k.Job("a").State)
@@ -45,7 +45,7 @@
 
 func TestJobs(t *testing.T) {
 	t.Run("complete only with every task", func(t *testing.T) { // guards against a partial answer
-		k := newKeeper()
+		k := newRecorder()
 		mustState(t, k, specifier.JobQueued)
 		end(k, 0, 0, specifier.EndDone)
 		end(k, 0, 0, specifier.EndDone)
@@ -55,7 +55,7 @@
 		mustState(t, k, specifier.JobCompleted)
 	})
 	t.Run("failed after the attempts of its queue", func(t *testing.T) { // guards against attempts without end
-		k := newKeeper()
+		k := newRecorder()
 		end(k, 0, 0, specifier.EndFailed)
 		end(k, 0, 1, specifier.EndFailed)
 		mustState(t, k, specifier.JobRunning)
@@ -63,7 +63,7 @@
 		mustState(t, k, specifier.JobFailed)
 	})
 	t.Run("one failure of a run", func(t *testing.T) { // guards against an attempt that two leaders record and that counts twice
-		k := newKeeper()
+		k := newRecorder()
 		endOf(k, 0, 0, 7, specifier.EndFailed)
 		endOf(k, 0, 0, 7, specifier.EndFailed)
 		mustState(t, k, specifier.JobRunning)
@@ -72,25 +72,25 @@
 		mustState(t, k, specifier.JobFailed)
 	})
 	t.Run("a cancellation is final", func(t *testing.T) { // guards against a cancelled job that completes
-		k := newKeeper()
+		k := newRecorder()
 		k.Apply(specifier.QueueCommand{Cancel: "a"})
 		end(k, 0, 0, specifier.EndDone)
 		mustState(t, k, specifier.JobCancelled)
 	})
 	t.Run("a second acceptance changes nothing", func(t *testing.T) { // guards against a resubmission that starts over
-		k := newKeeper()
+		k := newRecorder()
 		end(k, 0, 0, specifier.EndDone)
 		k.Apply(specifier.QueueCommand{Accept: job("a")})
 		mustState(t, k, specifier.JobRunning)
 	})
 	t.Run("ends of unknown tasks", func(t *testing.T) { // guards against a crash of every replica
-		k := newKeeper()
+		k := newRecorder()
 		end(k, 7, 0, specifier.EndDone)
 		end(k, 0, -1, specifier.EndDone)
 		mustState(t, k, specifier.JobQueued)
 	})
 	t.Run("forgotten after the retention", func(t *testing.T) { // guards against a state that grows without bound
-		k := newKeeper()
+		k := newRecorder()
 		k.Apply(specifier.QueueCommand{Cancel: "a"})
 		k.Apply(specifier.QueueCommand{Advance: retention, Enroll: "x"})
 		mustState(t, k, specifier.JobCancelled)
@@ -101,7 +101,7 @@
 
 // Guards against an older manifest that replaces a newer one.
 func TestHighestManifestStays(t *testing.T) {
-	k := newKeeper()
+	k := newRecorder()
 	for _, version := range []uint64{4, 5} {
 		k.Apply(specifier.QueueCommand{Manifest: &specifier.Manifest{Version: version, Document: []byte("other")}})
 		must.Eq(t, "five", string(k.Manifest().Document))
@@ -110,7 +110,7 @@
 
 // Guards against a snapshot that loses a part of the state.
 func TestImage(t *testing.T) {
-	k := newKeeper()
+	k := newRecorder()
 	end(k, 0, 1, specifier.EndFailed)
 	end(k, 0, 0, specifier.EndDone)
 	k.Apply(specifier.QueueCommand{Accept: job("b")})
