--- a/controller/sequencer/attendance.go
+++ b/controller/sequencer/attendance.go
@@ -16,21 +16,21 @@
 	}
 	who := s.attending[e.Stream]
 	if who == nil {
-		if e.Presence.Member == nil {
+		if e.Heartbeat.Member == nil {
 			return // the stream was told that its member is expelled
 		}
-		who = &attendant{revision: e.Presence.Revision}
+		who = &attendant{revision: e.Heartbeat.Revision}
 		s.attending[e.Stream] = who
 	}
 	who.renewals++
-	if e.Presence.Needs != nil {
-		who.needs = e.Presence.Needs
+	if e.Heartbeat.Needs != nil {
+		who.needs = e.Heartbeat.Needs
 	}
-	if e.Presence.Load != nil {
-		who.load, who.reported = *e.Presence.Load, true
+	if e.Heartbeat.Load != nil {
+		who.load, who.reported = *e.Heartbeat.Load, true
 	}
-	if e.Presence.Member != nil {
-		s.announced(now, e.Stream, who, *e.Presence.Member)
+	if e.Heartbeat.Member != nil {
+		s.announced(now, e.Stream, who, *e.Heartbeat.Member)
 		return
 	}
 	if who.joined {
--- a/controller/sequencer/attended.go
+++ b/controller/sequencer/attended.go
@@ -2,10 +2,10 @@
 
 import "oleandertally/core/specifier"
 
-// Attended is a presence of the member that attends on a stream.
+// Attended is a heartbeat of the member that attends on a stream.
 type Attended struct {
-	Stream   Stream
-	Presence specifier.Presence
+	Stream    Stream
+	Heartbeat specifier.Heartbeat
 }
 
 func (Attended) event() {}
--- a/controller/sequencer/sequencer_test.go
+++ b/controller/sequencer/sequencer_test.go
@@ -63,7 +63,7 @@
 }
 
 func (f *fixture) attend(stream sequencer.Stream, member specifier.Member) {
-	f.step(sequencer.Attended{Stream: stream, Presence: specifier.Presence{Member: &member}})
+	f.step(sequencer.Attended{Stream: stream, Heartbeat: specifier.Heartbeat{Member: &member}})
 	f.commit()
 }
 
@@ -205,7 +205,7 @@
 	for range 5 {
 		total, first, second := 0.0, 0.0, 0.0
 		for stream := sequencer.Stream(2); stream <= 4; stream++ {
-			f.step(sequencer.Attended{Stream: stream, Presence: specifier.Presence{Needs: needs}})
+			f.step(sequencer.Attended{Stream: stream, Heartbeat: specifier.Heartbeat{Needs: needs}})
 			must.True(t, len(f.last(stream).Shares) == 1)
 			teams := f.last(stream).Shares[0].Teams
 			first, second = first+teams[0].Slots, second+teams[1].Slots
--- a/controller/server/registry.go
+++ b/controller/server/registry.go
@@ -104,7 +104,7 @@
 			if err != nil {
 				return err
 			}
-			presence, err := encoder.DecodePresence(message)
+			presence, err := encoder.DecodeHeartbeat(message)
 			if err != nil {
 				return status.Error(codes.InvalidArgument, err.Error())
 			}
@@ -113,7 +113,7 @@
 					return err
 				}
 			}
-			event := sequencer.Attended{Stream: id, Presence: presence}
+			event := sequencer.Attended{Stream: id, Heartbeat: presence}
 			if err := r.mailbox.Send(ctx, driver.Event{Control: event}); err != nil {
 				return err
 			}
--- a/core/encoder/presence.go
+++ b/core/encoder/heartbeat.go
@@ -2,8 +2,8 @@
 
 import "oleandertally/core/specifier"
 
-// EncodePresence copies every field.
-func EncodePresence(p specifier.Presence) *Presence {
+// EncodeHeartbeat copies every field.
+func EncodeHeartbeat(p specifier.Heartbeat) *Presence {
 	m := &Presence{Revision: uint64(p.Revision), Needs: encodeShares(p.Needs)}
 	if p.Member != nil {
 		m.Member = EncodeMember(*p.Member)
@@ -14,10 +14,10 @@
 	return m
 }
 
-// DecodePresence returns every problem of the message's fields together.
-func DecodePresence(m *Presence) (specifier.Presence, error) {
+// DecodeHeartbeat returns every problem of the message's fields together.
+func DecodeHeartbeat(m *Presence) (specifier.Heartbeat, error) {
 	c := &checker{}
-	p := specifier.Presence{Revision: specifier.Revision(m.GetRevision()), Needs: c.shares("Presence.Needs", m.GetNeeds())}
+	p := specifier.Heartbeat{Revision: specifier.Revision(m.GetRevision()), Needs: c.shares("Presence.Needs", m.GetNeeds())}
 	if m.GetMember() != nil {
 		member := c.member("Presence.Member", m.GetMember())
 		p.Member = &member
--- a/core/registrant/registrant.go
+++ b/core/registrant/registrant.go
@@ -196,7 +196,7 @@
 }
 
 func (r *Registrant) send(stream encoder.Registry_AttendClient, whole bool) error {
-	presence := specifier.Presence{Revision: r.revision}
+	presence := specifier.Heartbeat{Revision: r.revision}
 	if whole {
 		member := r.Member
 		presence.Member = &member
@@ -212,5 +212,5 @@
 	if r.sent.IsZero() {
 		r.sent = time.Now()
 	}
-	return errors.Wrap(stream.Send(encoder.EncodePresence(presence)), "attender: send")
+	return errors.Wrap(stream.Send(encoder.EncodeHeartbeat(presence)), "attender: send")
 }
--- a/core/specifier/presence.go
+++ b/core/specifier/heartbeat.go
@@ -1,7 +1,7 @@
 package specifier
 
-// Presence announces a member or renews its lease.
-type Presence struct {
+// Heartbeat announces a member or renews its lease.
+type Heartbeat struct {
 	Member   *Member // in the first message, and when it changes
 	Revision Revision
 	Needs    []ServiceShare // of an entry: what its teams could use
--- a/local/benchmarker/wire_test.go
+++ b/local/benchmarker/wire_test.go
@@ -42,11 +42,11 @@
 // BenchmarkRenewal reports the bytes of one renewal and of its answer.
 func BenchmarkRenewal(b *testing.B) {
 	each(b, []int{1, 1000, 1_000_000}, func(b *testing.B, version int) {
-		presence := specifier.Presence{Revision: specifier.Revision(version)}
+		presence := specifier.Heartbeat{Revision: specifier.Revision(version)}
 		update := specifier.Update{Lease: 10 * time.Second, MemberVersion: uint64(version)}
 		var sent, received int
 		for b.Loop() {
-			sent, received = proto.Size(encoder.EncodePresence(presence))+frame, proto.Size(encoder.EncodeUpdate(update))+frame
+			sent, received = proto.Size(encoder.EncodeHeartbeat(presence))+frame, proto.Size(encoder.EncodeUpdate(update))+frame
 		}
 		b.ReportMetric(float64(sent), "B/renewal")
 		b.ReportMetric(float64(received), "B/grant")
