--- a/agent/leaseholder/runs.go
+++ b/agent/leaseholder/runs.go
@@ -29,7 +29,7 @@
 	}
 	until := l.lease()
 	l.until = max(l.until, until)
-	l.runs[start.Key] = &heldRun{LeasedRun: specifier.LeasedRun{Key: start.Key, Room: start.Room, Saved: start.Saved}, until: until}
+	l.runs[start.Key] = &heldRun{LeasedRun: specifier.LeasedRun{Key: start.Key, Resources: start.Resources, Saved: start.Saved}, until: until}
 	l.emit(Start{Start: start, Token: l.workerToken(), Until: until, Worker: l.worker.ID})
 }
 
--- a/controller/dispatcher/admission.go
+++ b/controller/dispatcher/admission.go
@@ -25,7 +25,7 @@
 	var work, cores float64
 	for _, each := range d.ready.list {
 		step := each.task.job.Steps[each.task.step]
-		work += step.Estimate.Seconds() * float64(step.Room.MilliCores)
+		work += step.Estimate.Seconds() * float64(step.Resources.MilliCores)
 	}
 	for _, h := range d.holders {
 		if d.usable(h) {
--- a/controller/dispatcher/bench_test.go
+++ b/controller/dispatcher/bench_test.go
@@ -36,7 +36,7 @@
 			for agent := 1; agent <= workers; agent++ {
 				for range 2 {
 					report := specifier.LeaseReport{Agent: name(agent), Incarnation: 1, Renewal: 1, Settled: true, Listed: true,
-						Worker: &specifier.LeasedWorker{ID: name(agent), Born: time.Unix(1, 0), Pool: "p", Capacity: specifier.Room{MilliCores: 16000, Memory: 1 << 15}}}
+						Worker: &specifier.LeasedWorker{ID: name(agent), Born: time.Unix(1, 0), Pool: "p", Capacity: specifier.Resources{MilliCores: 16000, Memory: 1 << 15}}}
 					if h := d.holders[name(agent)]; h != nil {
 						report.Token = d.fence(h)
 					}
@@ -48,7 +48,7 @@
 				for len(d.ready.list) < 200 {
 					jobs++
 					take(step(Called{Stream: caller, Sequence: uint64(jobs), Call: specifier.QueueCall{Verb: specifier.SubmitQueued, Host: "h", Path: fmt.Sprintf("/q/%d", jobs),
-						Job: specifier.QueuedJob{Transient: true, Steps: []specifier.Step{{Count: 4, Room: specifier.Room{MilliCores: 1400 + jobs%400, Memory: 64}, Estimate: 100 * time.Millisecond}}}}}))
+						Job: specifier.QueuedJob{Transient: true, Steps: []specifier.Step{{Count: 4, Resources: specifier.Resources{MilliCores: 1400 + jobs%400, Memory: 64}, Estimate: 100 * time.Millisecond}}}}}))
 				}
 			}
 			fill()
--- a/controller/dispatcher/desk_test.go
+++ b/controller/dispatcher/desk_test.go
@@ -55,11 +55,11 @@
 func (b *desk) report(agent int, change func(*specifier.LeaseReport)) {
 	b.renewal++
 	report := specifier.LeaseReport{Agent: name(agent), Incarnation: 1, Renewal: b.renewal, Settled: true, Listed: true,
-		Worker: &specifier.LeasedWorker{ID: name(agent), Born: time.Unix(1, 0), Pool: "p", Capacity: specifier.Room{MilliCores: 2000, Memory: 100}}}
+		Worker: &specifier.LeasedWorker{ID: name(agent), Born: time.Unix(1, 0), Pool: "p", Capacity: specifier.Resources{MilliCores: 2000, Memory: 100}}}
 	if h := b.d.holders[name(agent)]; h != nil {
 		report.Token, report.Orders = b.d.fence(h), h.orders
 		for _, r := range h.sorted() {
-			report.Runs = append(report.Runs, specifier.LeasedRun{Key: r.key, Room: r.room})
+			report.Runs = append(report.Runs, specifier.LeasedRun{Key: r.key, Resources: r.room})
 		}
 	}
 	if change != nil {
@@ -75,7 +75,7 @@
 
 func (b *desk) submit(id string, count int, transient bool) {
 	b.step(Called{Stream: caller, Sequence: uint64(len(id)), Call: specifier.QueueCall{Verb: specifier.SubmitQueued, Host: "h", Path: "/q/" + id,
-		Job: specifier.QueuedJob{Transient: transient, Steps: []specifier.Step{{Count: count, Room: specifier.Room{MilliCores: 1000, Memory: 1}, Estimate: b.estimate}}}}})
+		Job: specifier.QueuedJob{Transient: transient, Steps: []specifier.Step{{Count: count, Resources: specifier.Resources{MilliCores: 1000, Memory: 1}, Estimate: b.estimate}}}}})
 }
 
 func (b *desk) starts() []specifier.RunStart {
--- a/controller/dispatcher/dispatcher_test.go
+++ b/controller/dispatcher/dispatcher_test.go
@@ -73,7 +73,7 @@
 	b.attach(3 - at)
 	must.SliceEmpty(t, b.starts())
 	listed := func(report *specifier.LeaseReport) {
-		report.Runs = []specifier.LeasedRun{{Key: running, Room: specifier.Room{MilliCores: 1000, Memory: 1}}}
+		report.Runs = []specifier.LeasedRun{{Key: running, Resources: specifier.Resources{MilliCores: 1000, Memory: 1}}}
 	}
 	b.report(at, listed)
 	b.report(at, listed)
@@ -184,7 +184,7 @@
 // Guards against a task at a worker that its step does not allow.
 func TestWorkersThatAStepAllows(t *testing.T) {
 	submit := func(b *desk, step specifier.Step) {
-		step.Room, step.Estimate = specifier.Room{MilliCores: 500, Memory: 1}, 100*time.Millisecond
+		step.Resources, step.Estimate = specifier.Resources{MilliCores: 500, Memory: 1}, 100*time.Millisecond
 		b.step(Called{Stream: caller, Sequence: 1, Call: specifier.QueueCall{Verb: specifier.SubmitQueued, Host: "h", Path: "/q/a",
 			Job: specifier.QueuedJob{Transient: true, Steps: []specifier.Step{step}}}})
 	}
--- a/controller/dispatcher/holder.go
+++ b/controller/dispatcher/holder.go
@@ -21,7 +21,7 @@
 	renewed     time.Time
 	grantUntil  time.Time
 	orders      uint64
-	used        specifier.Room
+	used        specifier.Resources
 	unknown     int // runs whose room is not known
 	runs        map[specifier.RunKey]*run
 	processed   uint64 // ends up to this number were handled in this life
@@ -31,9 +31,9 @@
 }
 
 // free returns what is left of the worker's capacity. What is being stopped still counts.
-func (h *holder) free() specifier.Room {
+func (h *holder) free() specifier.Resources {
 	if h.worker == nil || h.unknown > 0 {
-		return specifier.Room{MilliCores: -1, Memory: -1, Accelerators: -1}
+		return specifier.Resources{MilliCores: -1, Memory: -1, Accelerators: -1}
 	}
 	return h.worker.Capacity.Minus(h.used)
 }
@@ -41,14 +41,14 @@
 func (h *holder) add(r *run) {
 	h.runs[r.key] = r
 	h.used = h.used.Plus(r.room)
-	if r.room == (specifier.Room{}) {
+	if r.room == (specifier.Resources{}) {
 		h.unknown++
 	}
 }
 
 // learnRoom notes what a run uses whose room was not known.
-func (h *holder) learnRoom(r *run, room specifier.Room) {
-	if r.room != (specifier.Room{}) || h.runs[r.key] != r {
+func (h *holder) learnRoom(r *run, room specifier.Resources) {
+	if r.room != (specifier.Resources{}) || h.runs[r.key] != r {
 		return
 	}
 	h.remove(r)
@@ -62,7 +62,7 @@
 	}
 	delete(h.runs, r.key)
 	h.used = h.used.Minus(r.room)
-	if r.room == (specifier.Room{}) {
+	if r.room == (specifier.Resources{}) {
 		h.unknown--
 	}
 }
--- a/controller/dispatcher/missedroom.go
+++ b/controller/dispatcher/missedroom.go
@@ -5,5 +5,5 @@
 // missedRoom is what a task needed that fitted nowhere.
 type missedRoom struct {
 	pool string
-	room specifier.Room
+	room specifier.Resources
 }
--- a/controller/dispatcher/missedrooms.go
+++ b/controller/dispatcher/missedrooms.go
@@ -12,12 +12,12 @@
 func (m *missedRooms) note(t *task) {
 	step := t.job.Steps[t.step]
 	if step.Label == "" && step.PerWorker == 0 && !m.covers(t) {
-		m.rooms = append(m.rooms, missedRoom{t.job.queue.Pool, step.Room})
+		m.rooms = append(m.rooms, missedRoom{t.job.queue.Pool, step.Resources})
 	}
 }
 
 func (m *missedRooms) covers(t *task) bool {
 	return slices.ContainsFunc(m.rooms, func(missed missedRoom) bool {
-		return missed.pool == t.job.queue.Pool && missed.room.Fits(t.job.Steps[t.step].Room)
+		return missed.pool == t.job.queue.Pool && missed.room.Fits(t.job.Steps[t.step].Resources)
 	})
 }
--- a/controller/dispatcher/orphan_test.go
+++ b/controller/dispatcher/orphan_test.go
@@ -10,11 +10,11 @@
 )
 
 // found lets a new leader find one run that no job claims at its only agent.
-func found(b *desk, room specifier.Room) specifier.RunKey {
+func found(b *desk, room specifier.Resources) specifier.RunKey {
 	key := specifier.RunKey{Task: "gone.0.0.0", Run: 4097}
 	b.step(Followed{})
 	b.step(Led{Term: 2})
-	list := func(report *specifier.LeaseReport) { report.Runs = []specifier.LeasedRun{{Key: key, Room: room}} }
+	list := func(report *specifier.LeaseReport) { report.Runs = []specifier.LeasedRun{{Key: key, Resources: room}} }
 	b.report(1, list)
 	b.report(1, list)
 	return key
@@ -54,7 +54,7 @@
 func TestRunsThatNoJobClaims(t *testing.T) {
 	t.Run("of unknown room", func(t *testing.T) { // guards against a worker that stands idle beside one run
 		b := newDesk(t, 1)
-		key := found(b, specifier.Room{})
+		key := found(b, specifier.Resources{})
 		b.submit("a", 1, true)
 		must.SliceEmpty(t, b.starts())
 		b.advance(b.d.Settings.BlockedAfter)
@@ -62,7 +62,7 @@
 	})
 	t.Run("of known room", func(t *testing.T) { // guards against work that is thrown away before its caller comes back
 		b := newDesk(t, 1)
-		key := found(b, specifier.Room{MilliCores: 1000, Memory: 1})
+		key := found(b, specifier.Resources{MilliCores: 1000, Memory: 1})
 		b.submit("a", 1, true)
 		must.SliceLen(t, 1, b.starts())
 		b.advance(b.d.Settings.BlockedAfter)
@@ -77,7 +77,7 @@
 	})
 	t.Run("claimed in time", func(t *testing.T) { // guards against a stop of a run that a job has claimed
 		b := newDesk(t, 1)
-		found(b, specifier.Room{})
+		found(b, specifier.Resources{})
 		b.submit("gone", 1, true)
 		must.SliceEmpty(t, b.starts())
 		b.advance(b.d.Settings.BlockedAfter)
@@ -85,7 +85,7 @@
 	})
 	t.Run("claimed while it is being stopped", func(t *testing.T) { // guards against a second run beside one whose stop has not arrived
 		b := newDesk(t, 2)
-		key := found(b, specifier.Room{})
+		key := found(b, specifier.Resources{})
 		b.attach(2)
 		b.advance(b.d.Settings.BlockedAfter)
 		must.Eq(t, []specifier.RunKey{key}, b.stops())
@@ -99,7 +99,7 @@
 	})
 	t.Run("claimed, and its room is known", func(t *testing.T) { // guards against a worker that stands idle beside a run of known room
 		b := newDesk(t, 1)
-		found(b, specifier.Room{})
+		found(b, specifier.Resources{})
 		b.submit("gone", 1, true)
 		b.submit("a", 2, true)
 		must.SliceLen(t, 1, b.starts())
--- a/controller/dispatcher/placement.go
+++ b/controller/dispatcher/placement.go
@@ -88,7 +88,7 @@
 	var bestScore float64
 	step := t.job.Steps[t.step]
 	for _, h := range holders {
-		if h.worker.Pool != t.job.queue.Pool || !step.Room.Fits(h.free()) || d.now.Before(h.health.outUntil) || h.health.probing && len(h.runs) > 0 {
+		if h.worker.Pool != t.job.queue.Pool || !step.Resources.Fits(h.free()) || d.now.Before(h.health.outUntil) || h.health.probing && len(h.runs) > 0 {
 			continue
 		}
 		if step.Label != "" && !slices.Contains(h.worker.Labels, step.Label) || step.PerWorker > 0 && h.count(t.job, t.step) >= step.PerWorker {
@@ -122,10 +122,10 @@
 
 func (d *Dispatcher) start(h *holder, t *task) {
 	t.starts++
-	r := &run{key: specifier.RunKey{Task: t.name, Run: d.term*runTerm + t.starts}, holder: h, room: t.job.Steps[t.step].Room, task: t, began: d.now}
+	r := &run{key: specifier.RunKey{Task: t.name, Run: d.term*runTerm + t.starts}, holder: h, room: t.job.Steps[t.step].Resources, task: t, began: d.now}
 	order := d.command(h)
 	r.order = h.orders
-	order.Starts = append(order.Starts, specifier.RunStart{Key: r.key, Content: t.job.Content, Saved: t.saved, Room: r.room})
+	order.Starts = append(order.Starts, specifier.RunStart{Key: r.key, Content: t.job.Content, Saved: t.saved, Resources: r.room})
 	h.add(r)
 	t.state, t.run = taskPlaced, r
 	t.job.started = true
--- a/controller/dispatcher/report.go
+++ b/controller/dispatcher/report.go
@@ -166,10 +166,10 @@
 
 // discover takes in a run that this leader did not start.
 func (d *Dispatcher) discover(h *holder, listed specifier.LeasedRun) {
-	r := &run{key: listed.Key, holder: h, room: listed.Room, began: d.now}
+	r := &run{key: listed.Key, holder: h, room: listed.Resources, began: d.now}
 	t := d.task(listed.Key.Task)
-	if r.room == (specifier.Room{}) && t != nil {
-		r.room = t.job.Steps[t.step].Room
+	if r.room == (specifier.Resources{}) && t != nil {
+		r.room = t.job.Steps[t.step].Resources
 	}
 	h.add(r)
 	switch {
@@ -198,7 +198,7 @@
 // leader, callers seconds later.
 func (d *Dispatcher) watchOrphan(r *run) {
 	wait := d.Settings.OrphanAfter
-	if r.room == (specifier.Room{}) {
+	if r.room == (specifier.Resources{}) {
 		wait = d.Settings.BlockedAfter
 	}
 	r.lookAt = d.now.Add(wait)
--- a/controller/dispatcher/run.go
+++ b/controller/dispatcher/run.go
@@ -10,7 +10,7 @@
 type run struct {
 	key      specifier.RunKey
 	holder   *holder
-	room     specifier.Room
+	room     specifier.Resources
 	task     *task  // nil while no job claims it
 	order    uint64 // that started it; 0 when the agent listed it
 	began    time.Time
--- a/controller/dispatcher/submit.go
+++ b/controller/dispatcher/submit.go
@@ -90,7 +90,7 @@
 
 func (d *Dispatcher) adopt(t *task, r *run) {
 	t.state, t.run, r.task = taskPlaced, r, t
-	r.holder.learnRoom(r, t.job.Steps[t.step].Room)
+	r.holder.learnRoom(r, t.job.Steps[t.step].Resources)
 	t.job.started = true
 	d.emit(Note{Event: "RunAdopted", Job: t.job.ID, Task: t.name, Run: r.key.Run, Agent: r.holder.name})
 	d.watch(r)
--- a/core/encoder/leasereport.go
+++ b/core/encoder/leasereport.go
@@ -11,11 +11,11 @@
 	m := &QueueReport{Agent: report.Agent, Incarnation: uint64(report.Incarnation), Renewal: report.Renewal, Orders: report.Orders,
 		Settled: report.Settled, Token: report.Token, Leaving: report.Leaving, Listed: report.Listed, Ends: encodeEnds(report.Ends), Refused: encodeEnds(report.Refused)}
 	if worker := report.Worker; worker != nil {
-		m.Worker = &QueueWorker{ID: worker.ID, Born: worker.Born.UnixNano(), Pool: worker.Pool, Capacity: EncodeRoom(worker.Capacity),
+		m.Worker = &QueueWorker{ID: worker.ID, Born: worker.Born.UnixNano(), Pool: worker.Pool, Capacity: EncodeResources(worker.Capacity),
 			Labels: worker.Labels, Draining: worker.Draining}
 	}
 	for _, run := range report.Runs {
-		m.Runs = append(m.Runs, &QueueRun{Task: run.Key.Task, Run: run.Key.Run, Saved: run.Saved, Room: EncodeRoom(run.Room), Starting: run.Starting})
+		m.Runs = append(m.Runs, &QueueRun{Task: run.Key.Task, Run: run.Key.Run, Saved: run.Saved, Room: EncodeResources(run.Resources), Starting: run.Starting})
 	}
 	return m
 }
@@ -26,11 +26,11 @@
 		Settled: m.Settled, Token: m.Token, Leaving: m.Leaving, Listed: m.Listed, Ends: decodeEnds(m.Ends), Refused: decodeEnds(m.Refused)}
 	if worker := m.Worker; worker != nil {
 		report.Worker = &specifier.LeasedWorker{ID: worker.ID, Born: time.Unix(0, worker.Born), Pool: worker.Pool,
-			Capacity: DecodeRoom(worker.Capacity), Labels: worker.Labels, Draining: worker.Draining}
+			Capacity: DecodeResources(worker.Capacity), Labels: worker.Labels, Draining: worker.Draining}
 	}
 	for _, run := range m.Runs {
 		report.Runs = append(report.Runs, specifier.LeasedRun{Key: specifier.RunKey{Task: run.Task, Run: run.Run}, Saved: run.Saved,
-			Room: DecodeRoom(run.Room), Starting: run.Starting})
+			Resources: DecodeResources(run.Room), Starting: run.Starting})
 	}
 	return report
 }
--- a/core/encoder/queue_test.go
+++ b/core/encoder/queue_test.go
@@ -10,7 +10,7 @@
 )
 
 var queuedJob = specifier.QueuedJob{ID: "a", Queue: "q", Content: "c", Transient: true, Steps: []specifier.Step{
-	{Count: 2, Room: specifier.Room{MilliCores: 1, Memory: 2, Accelerators: 3}, Estimate: time.Second, Checkpoints: true, Label: "l", DataRack: "r",
+	{Count: 2, Resources: specifier.Resources{MilliCores: 1, Memory: 2, Accelerators: 3}, Estimate: time.Second, Checkpoints: true, Label: "l", DataRack: "r",
 		PerWorker: 4, Speculative: true}, {Count: 1, After: []int{0}}}}
 
 // Guards against a field that is lost between two processes.
@@ -41,15 +41,15 @@
 	t.Run("report", func(t *testing.T) {
 		key := specifier.RunKey{Task: "t", Run: 2}
 		report := specifier.LeaseReport{Agent: "a", Incarnation: 1, Renewal: 2, Orders: 3, Settled: true, Token: 4, Leaving: true, Listed: true,
-			Worker: &specifier.LeasedWorker{ID: "w", Born: time.Unix(5, 0), Pool: "p", Capacity: specifier.Room{MilliCores: 1}, Labels: []string{"l"}, Draining: true},
-			Runs:   []specifier.LeasedRun{{Key: key, Saved: "s", Room: specifier.Room{Memory: 1}, Starting: true}},
+			Worker: &specifier.LeasedWorker{ID: "w", Born: time.Unix(5, 0), Pool: "p", Capacity: specifier.Resources{MilliCores: 1}, Labels: []string{"l"}, Draining: true},
+			Runs:   []specifier.LeasedRun{{Key: key, Saved: "s", Resources: specifier.Resources{Memory: 1}, Starting: true}},
 			Ends:   []specifier.RunEnd{{Number: 1, Key: key, How: specifier.EndFailed, Saved: "s"}}, Refused: []specifier.RunEnd{{Key: key, How: specifier.EndRefusedLate}}}
 		must.Eq(t, report, DecodeLeaseReport(EncodeLeaseReport(report)))
 	})
 	t.Run("order", func(t *testing.T) {
 		key := specifier.RunKey{Task: "t", Run: 2}
 		order := specifier.LeaseOrder{Token: 1, Granted: 2, Orders: 3, Noted: 4, NotedBorn: time.Unix(5, 0), Stops: []specifier.RunKey{key},
-			Starts: []specifier.RunStart{{Key: key, Content: "c", Saved: "s", Room: specifier.Room{Accelerators: 1}}}}
+			Starts: []specifier.RunStart{{Key: key, Content: "c", Saved: "s", Resources: specifier.Resources{Accelerators: 1}}}}
 		must.Eq(t, order, DecodeLeaseOrder(EncodeLeaseOrder(order)))
 	})
 }
--- a/core/encoder/queuedjob.go
+++ b/core/encoder/queuedjob.go
@@ -6,17 +6,17 @@
 	"oleandertally/core/specifier"
 )
 
-// EncodeRoom returns nil for no room.
-func EncodeRoom(room specifier.Room) *QueueRoom {
-	if room == (specifier.Room{}) {
+// EncodeResources returns nil for no resources.
+func EncodeResources(room specifier.Resources) *QueueRoom {
+	if room == (specifier.Resources{}) {
 		return nil
 	}
 	return &QueueRoom{MilliCores: uint32(room.MilliCores), Memory: uint32(room.Memory), Accelerators: uint32(room.Accelerators)}
 }
 
-// DecodeRoom returns no room for nil.
-func DecodeRoom(m *QueueRoom) specifier.Room {
-	return specifier.Room{MilliCores: int(m.GetMilliCores()), Memory: int(m.GetMemory()), Accelerators: int(m.GetAccelerators())}
+// DecodeResources returns no resources for nil.
+func DecodeResources(m *QueueRoom) specifier.Resources {
+	return specifier.Resources{MilliCores: int(m.GetMilliCores()), Memory: int(m.GetMemory()), Accelerators: int(m.GetAccelerators())}
 }
 
 // EncodeQueuedJob returns nil for nil.
@@ -26,7 +26,7 @@
 	}
 	m := &QueuedJob{ID: job.ID, Queue: job.Queue, Content: job.Content, Transient: job.Transient}
 	for _, step := range job.Steps {
-		each := &QueueStep{Count: uint32(step.Count), Room: EncodeRoom(step.Room), Estimate: int64(step.Estimate), Checkpoints: step.Checkpoints,
+		each := &QueueStep{Count: uint32(step.Count), Room: EncodeResources(step.Resources), Estimate: int64(step.Estimate), Checkpoints: step.Checkpoints,
 			Label: step.Label, DataRack: step.DataRack, PerWorker: uint32(step.PerWorker), Speculative: step.Speculative}
 		for _, before := range step.After {
 			each.After = append(each.After, uint32(before))
@@ -43,7 +43,7 @@
 	}
 	job := &specifier.QueuedJob{ID: m.ID, Queue: m.Queue, Content: m.Content, Transient: m.Transient}
 	for _, each := range m.Steps {
-		step := specifier.Step{Count: int(each.Count), Room: DecodeRoom(each.Room), Estimate: time.Duration(each.Estimate),
+		step := specifier.Step{Count: int(each.Count), Resources: DecodeResources(each.Room), Estimate: time.Duration(each.Estimate),
 			Checkpoints: each.Checkpoints, Label: each.Label, DataRack: each.DataRack, PerWorker: int(each.PerWorker), Speculative: each.Speculative}
 		for _, before := range each.After {
 			step.After = append(step.After, int(before))
--- a/core/specifier/leasedworker.go
+++ b/core/specifier/leasedworker.go
@@ -7,7 +7,7 @@
 	ID       string
 	Born     time.Time // start of the life, which tells two lives of one ID apart
 	Pool     string
-	Capacity Room
+	Capacity Resources
 	Labels   []string
 	Draining bool
 }
--- a/core/specifier/queuedjob.go
+++ b/core/specifier/queuedjob.go
@@ -58,9 +58,9 @@
 	for i, step := range j.Steps {
 		field := indexed("Steps", i)
 		between(p, field+".Count", step.Count, 1, MaxQueuedTasks)
-		between(p, field+".Room.MilliCores", step.Room.MilliCores, 0, 1<<30)
-		between(p, field+".Room.Memory", step.Room.Memory, 0, 1<<30)
-		between(p, field+".Room.Accelerators", step.Room.Accelerators, 0, 1<<30)
+		between(p, field+".Room.MilliCores", step.Resources.MilliCores, 0, 1<<30)
+		between(p, field+".Room.Memory", step.Resources.Memory, 0, 1<<30)
+		between(p, field+".Room.Accelerators", step.Resources.Accelerators, 0, 1<<30)
 		between(p, field+".PerWorker", step.PerWorker, 0, MaxQueuedTasks)
 		between(p, field+".Estimate", step.Estimate, 0, MaxAdvance)
 		if slices.ContainsFunc(step.After, func(before int) bool { return before < 0 || before >= i }) {
--- a/core/specifier/step.go
+++ b/core/specifier/step.go
@@ -5,7 +5,7 @@
 // Step is a set of equal tasks of a queued job.
 type Step struct {
 	Count       int
-	Room        Room          // of each task
+	Resources   Resources     // of each task
 	Estimate    time.Duration // declared run time of a task; rough
 	After       []int         // earlier steps whose tasks must all be done first
 	Checkpoints bool
--- a/local/simulator/fakeagent_test.go
+++ b/local/simulator/fakeagent_test.go
@@ -113,7 +113,7 @@
 	worker := a.worker
 	worker.sequence++
 	a.step(leaseholder.Announced{Sequence: worker.sequence, Worker: specifier.LeasedWorker{ID: a.name + "-worker", Born: worker.born, Pool: poolName,
-		Capacity: specifier.Room{MilliCores: workerCores, Memory: 1 << 20}}})
+		Capacity: specifier.Resources{MilliCores: workerCores, Memory: 1 << 20}}})
 }
 
 // order carries a message of the leader to the agent. What is on its way when the stream ends is lost.
--- a/local/simulator/fakeworker_test.go
+++ b/local/simulator/fakeworker_test.go
@@ -21,7 +21,7 @@
 // workerRun is a run at a worker.
 type workerRun struct {
 	key    specifier.RunKey
-	room   specifier.Room
+	room   specifier.Resources
 	worker *fakeWorker
 	life   int
 }
@@ -199,7 +199,7 @@
 // begun starts a run and checks the promises.
 func (f *fakeWorker) begun(call leaseholder.Start) {
 	w, key := f.world, call.Start.Key
-	run := &workerRun{key: key, room: call.Start.Room, worker: f, life: f.life}
+	run := &workerRun{key: key, room: call.Start.Resources, worker: f, life: f.life}
 	w.tell("%s: run %v starts", f.name, key)
 	if other := w.running[key.Task]; other != nil {
 		w.broken("task %s runs twice: run %d at %s and run %d at %s", key.Task, other.key.Run, other.worker.name, key.Run, f.name)
