--- a/agent/leaserunner/runner.go
+++ b/agent/leaserunner/runner.go
@@ -52,11 +52,11 @@
 func (r *Runner) Open() error {
 	switch {
 	case r.Name == "":
-		return errors.New("tender: Name: is empty")
+		return errors.New("leaserunner: Name: is empty")
 	case r.Worker == nil, r.Clock == nil, r.Credentials == nil:
-		return errors.New("tender: Worker, Clock, Credentials: must be set")
+		return errors.New("leaserunner: Worker, Clock, Credentials: must be set")
 	case r.GrantSpan <= 0, r.HoldMost <= 0:
-		return errors.New("tender: GrantSpan, HoldMost: expected more than 0")
+		return errors.New("leaserunner: GrantSpan, HoldMost: expected more than 0")
 	}
 	r.mailbox = looper.NewMailbox[event](mailboxSize)
 	r.seeker = &locator.Locator[*encoder.QueueOrder, *encoder.QueueReport]{
--- a/controller/redirector/redirector.go
+++ b/controller/redirector/redirector.go
@@ -28,11 +28,11 @@
 func (r *Redirector) Check() error {
 	switch {
 	case !r.Addr.IsValid():
-		return errors.New("referrer: Addr: is not set")
+		return errors.New("redirector: Addr: is not set")
 	case r.Credentials == nil:
-		return errors.New("referrer: Credentials: is not set")
+		return errors.New("redirector: Credentials: is not set")
 	case r.Known == nil:
-		return errors.New("referrer: Known: is not set")
+		return errors.New("redirector: Known: is not set")
 	}
 	return nil
 }
@@ -44,7 +44,7 @@
 	}
 	var err error
 	r.listener, err = net.Listen("tcp", r.Addr.String())
-	return errors.Wrap(err, "referrer: listen on Addr")
+	return errors.Wrap(err, "redirector: listen on Addr")
 }
 
 // Run serves until ctx ends. Open comes first.
@@ -53,7 +53,7 @@
 	encoder.RegisterQueueKeeperServer(server, &queues{known: r.Known})
 	transporter.RegisterReplicaServer(server, &replica{known: r.Known})
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return errors.Wrap(server.Serve(r.listener), "referrer: serve") })
+	group.Go(func() error { return errors.Wrap(server.Serve(r.listener), "redirector: serve") })
 	group.Go(func() error {
 		defer server.Stop()
 		<-ctx.Done()
--- a/core/locator/locator.go
+++ b/core/locator/locator.go
@@ -118,17 +118,17 @@
 	conn, err := grpc.NewClient("passthrough:///"+addr.String(), grpc.WithTransportCredentials(l.Credentials),
 		grpc.WithContextDialer(dialer(addr)), grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(encoder.MaxMessage), grpc.MaxCallSendMsgSize(encoder.MaxMessage)))
 	if err != nil {
-		return errors.Wrapf(err, "seeker: connect to %s", addr)
+		return errors.Wrapf(err, "locator: connect to %s", addr)
 	}
 	defer conn.Close()
 	group, ctx := errgroup.WithContext(ctx)
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watchdog := time.AfterFunc(answerWithin, func() { cancel(errors.Newf("seeker: %s is silent", addr)) })
+	watchdog := time.AfterFunc(answerWithin, func() { cancel(errors.Newf("locator: %s is silent", addr)) })
 	defer watchdog.Stop()
 	stream, err := l.Open(ctx, conn)
 	if err != nil {
-		return errors.Wrapf(err, "seeker: open a stream to %s", addr)
+		return errors.Wrapf(err, "locator: open a stream to %s", addr)
 	}
 	if err := l.await(stream, addr, watchdog); err != nil {
 		return err
--- a/core/registrant/registrant.go
+++ b/core/registrant/registrant.go
@@ -56,7 +56,7 @@
 // Run attends until ctx ends.
 func (r *Registrant) Run(ctx context.Context) error {
 	if len(r.Controllers) == 0 {
-		return errors.New("attender: Controllers: is empty, expected at least one address")
+		return errors.New("registrant: Controllers: is empty, expected at least one address")
 	}
 	next := 0
 	addr := r.Controllers[0]
@@ -108,7 +108,7 @@
 	defer cancel()
 	stream, err := encoder.NewRegistryClient(conn).Attend(ctx)
 	if err != nil {
-		return leader, errors.Wrap(err, "attender: open the stream")
+		return leader, errors.Wrap(err, "registrant: open the stream")
 	}
 	updates := make(chan specifier.Update)
 	group, groupCtx := errgroup.WithContext(ctx)
@@ -116,11 +116,11 @@
 		for {
 			message, err := stream.Recv()
 			if err != nil {
-				return errors.Wrap(err, "attender: receive")
+				return errors.Wrap(err, "registrant: receive")
 			}
 			update, err := encoder.DecodeUpdate(message)
 			if err != nil {
-				return errors.Wrap(err, "attender: update")
+				return errors.Wrap(err, "registrant: update")
 			}
 			select {
 			case updates <- update:
@@ -159,7 +159,7 @@
 			timer.Reset(answerBound)
 		case <-timer.C:
 			if !r.sent.IsZero() {
-				return none, errors.New("attender: the controller did not answer in time")
+				return none, errors.New("registrant: the controller did not answer in time")
 			}
 			if err := r.send(stream, false); err != nil {
 				return none, err
@@ -167,11 +167,11 @@
 			timer.Reset(answerBound)
 		case update := <-updates:
 			if update.NotLeader {
-				return update.Leader, errors.New("attender: the controller does not lead")
+				return update.Leader, errors.New("registrant: the controller does not lead")
 			}
 			if update.Expelled {
 				r.Member.Incarnation = specifier.Incarnation(rand.Uint64())
-				return none, errors.New("attender: this incarnation is recorded as Down")
+				return none, errors.New("registrant: this incarnation is recorded as Down")
 			}
 			if err := r.handle(ctx, update, timer); err != nil {
 				return none, err
@@ -212,5 +212,5 @@
 	if r.sent.IsZero() {
 		r.sent = time.Now()
 	}
-	return errors.Wrap(stream.Send(encoder.EncodeHeartbeat(presence)), "attender: send")
+	return errors.Wrap(stream.Send(encoder.EncodeHeartbeat(presence)), "registrant: send")
 }
--- a/local/deployer/claim.go
+++ b/local/deployer/claim.go
@@ -25,7 +25,7 @@
 			return &Claim{Layout: Layout{Base: base}, listener: listener}, nil
 		}
 	}
-	return nil, errors.Wrap(err, "assembler: no part of the loopback range is free")
+	return nil, errors.Wrap(err, "deployer: no part of the loopback range is free")
 }
 
 // Release gives the addresses up.
--- a/local/deployer/leader.go
+++ b/local/deployer/leader.go
@@ -25,7 +25,7 @@
 			return 0, context.Cause(ctx)
 		}
 	}
-	return 0, errors.New("assembler: no controller leads")
+	return 0, errors.New("deployer: no controller leads")
 }
 
 func (s *Site) leads(ctx context.Context, pool *dialer.Pool, i int) (bool, error) {
@@ -37,18 +37,18 @@
 	defer cancel()
 	stream, err := encoder.NewRegistryClient(conn).Propose(ctx)
 	if err != nil {
-		return false, errors.Wrap(err, "assembler: open the stream")
+		return false, errors.Wrap(err, "deployer: open the stream")
 	}
 	command := encoder.EncodeCommand(s.firstChange())
 	if err := stream.Send(&encoder.Proposals{Items: []*encoder.Proposal{{Sequence: 1, Command: command}}}); err != nil {
-		return false, errors.Wrap(err, "assembler: propose")
+		return false, errors.Wrap(err, "deployer: propose")
 	}
 	verdicts, err := stream.Recv()
 	if err != nil {
-		return false, errors.Wrap(err, "assembler: decision")
+		return false, errors.Wrap(err, "deployer: decision")
 	}
 	if len(verdicts.Items) == 0 {
-		return false, errors.New("assembler: the controller sent no decision")
+		return false, errors.New("deployer: the controller sent no decision")
 	}
 	decision, err := encoder.DecodeDecision(verdicts.Items[0].Decision)
 	return decision.Verdict == specifier.Applied, err
--- a/local/deployer/site.go
+++ b/local/deployer/site.go
@@ -237,10 +237,10 @@
 	})
 	_ = group.Wait() // the proposer always ends with the context's error
 	if cause := context.Cause(s.ctx); cause != nil {
-		return errors.Wrap(cause, "assembler: a role ended before the first configuration")
+		return errors.Wrap(cause, "deployer: a role ended before the first configuration")
 	}
 	if decision.Verdict != specifier.Applied {
-		return errors.Newf("assembler: the first configuration was not accepted: %s %s", decision.Verdict, decision.Detail)
+		return errors.Newf("deployer: the first configuration was not accepted: %s %s", decision.Verdict, decision.Detail)
 	}
 	return nil
 }
--- a/local/emulator/upstream.go
+++ b/local/emulator/upstream.go
@@ -36,7 +36,7 @@
 func (u *Upstream) Run(ctx context.Context) error {
 	listener, err := net.Listen("tcp", u.Addr.String())
 	if err != nil {
-		return errors.Wrap(err, "imitator: listen")
+		return errors.Wrap(err, "emulator: listen")
 	}
 	routes := http.NewServeMux()
 	routes.HandleFunc("POST /tasks", u.serve)
@@ -96,19 +96,19 @@
 func (u *Upstream) tell(ctx context.Context, method string) error {
 	body, err := json.Marshal(listener.Announcement{Addr: u.Addr, Slots: u.Slots})
 	if err != nil {
-		return errors.Wrap(err, "imitator: encode the announcement")
+		return errors.Wrap(err, "emulator: encode the announcement")
 	}
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+u.AgentAddr.String()+"/v1/announce", bytes.NewReader(body))
 	if err != nil {
-		return errors.Wrap(err, "imitator: build the announcement")
+		return errors.Wrap(err, "emulator: build the announcement")
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return errors.Wrap(err, "imitator: announce")
+		return errors.Wrap(err, "emulator: announce")
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusNoContent {
-		return errors.Newf("imitator: announce: status %d", response.StatusCode)
+		return errors.Newf("emulator: announce: status %d", response.StatusCode)
 	}
 	return nil
 }
--- a/state/jobrecorder/image.go
+++ b/state/jobrecorder/image.go
@@ -18,7 +18,7 @@
 const maxImage = 96 << 20
 
 // ErrImage marks an encoded state that can't be used.
-var ErrImage = errors.New("keeper: the encoded state of the queues is damaged")
+var ErrImage = errors.New("jobrecorder: the encoded state of the queues is damaged")
 
 // Image returns the state as a message that does not change while later commands are applied.
 func (r *Recorder) Image() *encoder.QueueImage {
@@ -51,7 +51,7 @@
 // Write writes an image. Equal states give equal bytes.
 func Write(w io.Writer, image *encoder.QueueImage) error {
 	_, err := protodelim.MarshalOptions{MarshalOptions: proto.MarshalOptions{Deterministic: true}}.MarshalTo(w, image)
-	return errors.Wrap(err, "keeper: write the state of the queues")
+	return errors.Wrap(err, "jobrecorder: write the state of the queues")
 }
 
 // Read reads what Write wrote. A reader at its end gives the empty state.
@@ -91,13 +91,13 @@
 	}
 	job, err := encoder.DecodeQueuedJob(m.Job)
 	if err != nil || job == nil {
-		return errors.Mark(errors.Wrapf(err, "keeper: job %q", m.GetJob().GetID()), ErrImage)
+		return errors.Mark(errors.Wrapf(err, "jobrecorder: job %q", m.GetJob().GetID()), ErrImage)
 	}
 	record := newRecord(*job)
 	record.State = state
 	for step := range record.Done {
 		if step >= len(m.Done) || len(m.Done[step]) != len(record.Done[step]) {
-			return errors.Mark(errors.Newf("keeper: job %q: step %d does not fit its tasks", job.ID, step), ErrImage)
+			return errors.Mark(errors.Newf("jobrecorder: job %q: step %d does not fit its tasks", job.ID, step), ErrImage)
 		}
 		for i, bit := range m.Done[step] {
 			if bit != 0 {
@@ -108,7 +108,7 @@
 	}
 	for _, end := range m.Failures {
 		if !record.holds(int(end.Step), int(end.Index)) {
-			return errors.Mark(errors.Newf("keeper: job %q: task %d of step %d failed, which the job does not have", job.ID, end.Index, end.Step), ErrImage)
+			return errors.Mark(errors.Newf("jobrecorder: job %q: task %d of step %d failed, which the job does not have", job.ID, end.Index, end.Step), ErrImage)
 		}
 		at := place{int(end.Step), int(end.Index)}
 		record.failed[at] = append(record.failed[at], end.Run)
