--- a/agent/tender/action.go
+++ b/agent/leaserunner/action.go
@@ -1,14 +1,14 @@
-package tender
+package leaserunner
 
 import (
 	"oleandertally/agent/leaseholder"
 	"oleandertally/core/encoder"
-	"oleandertally/core/mailer"
+	"oleandertally/core/looper"
 )
 
 // action is an output of the lease holder, or a waiter to release.
 type action struct {
 	control leaseholder.Action
-	box     *mailer.Outbox[*encoder.QueueReport]
+	box     *looper.Outbox[*encoder.QueueReport]
 	idle    chan<- struct{}
 }
--- a/agent/runner/agent.go
+++ b/agent/runner/agent.go
@@ -17,15 +17,15 @@
 	"oleandertally/agent/executor"
 	"oleandertally/agent/invoker"
 	"oleandertally/agent/listener"
-	"oleandertally/core/attender"
 	"oleandertally/core/authenticator"
 	"oleandertally/core/configurator"
 	"oleandertally/core/dialer"
 	"oleandertally/core/encoder"
-	"oleandertally/core/mailer"
+	"oleandertally/core/exporter"
+	"oleandertally/core/looper"
 	"oleandertally/core/operator"
 	"oleandertally/core/recorder"
-	"oleandertally/core/reporter"
+	"oleandertally/core/registrant"
 	"oleandertally/core/specifier"
 	"oleandertally/core/supervisor"
 )
@@ -57,16 +57,16 @@
 	Settings configurator.AgentSettings
 	Security *authenticator.Authenticator
 	Events   *recorder.Buffer // its Process is set to the identity of each run
-	Metrics  *reporter.Agent
+	Metrics  *exporter.Agent
 	Health   *supervisor.Health
 	Log      zerolog.Logger
 
 	self          atomic.Pointer[specifier.Identity]
-	mailbox       *mailer.Mailbox[executor.Event]
+	mailbox       *looper.Mailbox[executor.Event]
 	links         *listener.Links
 	invoker       *invoker.Invoker
-	attender      *attender.Attender
-	lease         *attender.Lease
+	attender      *registrant.Registrant
+	lease         *registrant.Lease
 	pings         pings
 	pool          *dialer.Pool
 	web           *http.Server
@@ -100,11 +100,11 @@
 	identity := specifier.Identity{Name: a.Settings.Name, Incarnation: specifier.Incarnation(rand.Uint64())}
 	a.self.Store(&identity)
 	a.Events.SetProcess(identity.String())
-	a.mailbox = mailer.NewMailbox[executor.Event](mailboxSize)
+	a.mailbox = looper.NewMailbox[executor.Event](mailboxSize)
 	a.links = &listener.Links{}
 	a.invoker = invoker.New(a.Settings.MaxConnections)
 	a.pool = &dialer.Pool{Credentials: a.Security.ClientCredentials(specifier.Controller, ""), MaxMessage: int(a.Settings.MaxMessage),
-		Stats: []stats.Handler{&reporter.Bytes{Member: a.Metrics.Member}}}
+		Stats: []stats.Handler{&exporter.Bytes{Member: a.Metrics.Member}}}
 	a.ended, a.left = make(chan struct{}), make(chan struct{})
 	a.leave, a.attended = make(chan struct{}), make(chan struct{})
 	a.Health.Probe = a.probe
@@ -134,7 +134,7 @@
 }
 
 func (a *Agent) watchLease() {
-	a.lease = attender.NewLease()
+	a.lease = registrant.NewLease()
 	a.lease.Clock = time.Now
 	a.lease.Renewed = func(left time.Duration) {
 		a.Health.Meet(conditionLease)
@@ -155,14 +155,14 @@
 	defer a.pool.Close()
 	group, ctx := errgroup.WithContext(ctx)
 	a.calls, a.callCtx = group, ctx
-	a.attender = attender.New()
+	a.attender = registrant.New()
 	a.attender.Member = a.member(0)
 	a.attender.Controllers, a.attender.Pool, a.attender.Log = a.Settings.Controllers, a.pool, a.Log
 	a.attender.Notify = a.notify
 	keeper := &loadKeeper{Executor: executor.New(a.Settings.MaxQueue, heldBytes)}
 	a.attender.Load = keeper.load.Load
 	machine := newMeter(keeper, a.Metrics)
-	loop := &mailer.Loop[executor.Event, executor.Action]{Machine: machine, Mailbox: a.mailbox, Perform: a.perform, Clock: time.Now}
+	loop := &looper.Loop[executor.Event, executor.Action]{Machine: machine, Mailbox: a.mailbox, Perform: a.perform, Clock: time.Now}
 	group.Go(func() error { return loop.Run(ctx) })
 	group.Go(func() error { return a.lease.Run(ctx) })
 	group.Go(func() error { return supervisor.Serve(a.web, a.announcements)(ctx) })
@@ -183,7 +183,7 @@
 }
 
 // notify turns what the controllers say into events.
-func (a *Agent) notify(ctx context.Context, notice attender.Notice) error {
+func (a *Agent) notify(ctx context.Context, notice registrant.Notice) error {
 	if notice.Self != a.Self() {
 		// What is recorded from now on belongs to the new incarnation; nothing has started since the lease
 		// of the old one ended.
--- a/agent/runner/agent_test.go
+++ b/agent/runner/agent_test.go
@@ -11,11 +11,11 @@
 	"go.uber.org/goleak"
 	"golang.org/x/sync/errgroup"
 
-	"oleandertally/core/attender"
 	"oleandertally/core/authenticator"
 	"oleandertally/core/configurator"
+	"oleandertally/core/exporter"
 	"oleandertally/core/recorder"
-	"oleandertally/core/reporter"
+	"oleandertally/core/registrant"
 	"oleandertally/core/specifier"
 	"oleandertally/core/supervisor"
 )
@@ -35,7 +35,7 @@
 	security, err := authenticator.New(configurator.SecuritySettings{Insecure: true}, authenticator.Peer{}, time.Now, func(error) {})
 	must.NoError(t, err)
 	agent := &Agent{Settings: settings, Security: security, Events: &recorder.Buffer{Cap: 10, Clock: time.Now},
-		Metrics: reporter.NewAgent(), Health: supervisor.NewHealth(Conditions()...)}
+		Metrics: exporter.NewAgent(), Health: supervisor.NewHealth(Conditions()...)}
 	must.NoError(t, agent.Open())
 	ctx, cancel := context.WithCancel(context.Background())
 	var group errgroup.Group
@@ -68,9 +68,9 @@
 	first := agent.Self()
 	second := specifier.Identity{Name: first.Name, Incarnation: first.Incarnation + 1}
 	agent.Events.Add(recorder.Event{Kind: recorder.TaskStarted})
-	must.NoError(t, agent.notify(t.Context(), attender.Notice{Self: first}))
+	must.NoError(t, agent.notify(t.Context(), registrant.Notice{Self: first}))
 	agent.Events.Add(recorder.Event{Kind: recorder.TaskEnded})
-	must.NoError(t, agent.notify(t.Context(), attender.Notice{Self: second}))
+	must.NoError(t, agent.notify(t.Context(), registrant.Notice{Self: second}))
 	agent.Events.Add(recorder.Event{Kind: recorder.TaskStarted})
 	events, _ := agent.Events.All()
 	must.Len(t, 3, events)
--- a/controller/dispatcher/dispatcher.go
+++ b/controller/dispatcher/dispatcher.go
@@ -3,15 +3,15 @@
 import (
 	"time"
 
-	"oleandertally/core/collector"
+	"oleandertally/core/container"
 	"oleandertally/core/specifier"
-	"oleandertally/state/keeper"
+	"oleandertally/state/jobrecorder"
 )
 
 // Dispatcher is the volatile state of the leading controller and, on every controller, the replicated state of the
 // queues. Exported fields are set before the first Step.
 type Dispatcher struct {
-	Keeper   *keeper.Keeper
+	Keeper   *jobrecorder.Recorder
 	Settings Settings
 	// Leading reports whether this controller may answer as leader.
 	Leading func(now time.Time) bool
@@ -34,7 +34,7 @@
 	orphans  map[string]*run // newest run of a task that no job claims, by task name
 	finished map[string]specifier.RunEnd
 	ready    readyQueue
-	timers   collector.Heap[timer]
+	timers   container.Heap[timer]
 	puts     map[uint64][]waiter // by version of the manifest
 	order    map[*holder]*specifier.LeaseOrder
 	ordered  []*holder
--- a/controller/server/controller.go
+++ b/controller/server/controller.go
@@ -20,13 +20,13 @@
 	"oleandertally/core/configurator"
 	"oleandertally/core/dialer"
 	"oleandertally/core/encoder"
-	"oleandertally/core/mailer"
+	"oleandertally/core/exporter"
+	"oleandertally/core/looper"
 	"oleandertally/core/operator"
 	"oleandertally/core/recorder"
-	"oleandertally/core/reporter"
 	"oleandertally/core/specifier"
 	"oleandertally/core/supervisor"
-	"oleandertally/state/keeper"
+	"oleandertally/state/jobrecorder"
 	"oleandertally/state/registrar"
 	"oleandertally/state/replicator"
 	"oleandertally/state/transporter"
@@ -60,13 +60,13 @@
 	Clock          func() time.Time    // default time.Now; must go on while the host is suspended
 	MaxMessage     configurator.ByteSize
 	Security       *authenticator.Authenticator
-	Metrics        *reporter.Controller
+	Metrics        *exporter.Controller
 	Health         *supervisor.Health // with Conditions
 	Events         *recorder.Buffer   // default one of its own
 	Log            zerolog.Logger
 	Noted          func(dispatcher.Note) // told of each decision on queues; must not block; nil for nobody
 
-	mailbox       *mailer.Mailbox[driver.Event]
+	mailbox       *looper.Mailbox[driver.Event]
 	registry      *registry
 	queues        *queues
 	disk          *disk
@@ -127,7 +127,7 @@
 		c.Events = &recorder.Buffer{Cap: eventsKept, Clock: time.Now}
 	}
 	c.Events.SetProcess(specifier.Identity{Name: c.Name, Incarnation: specifier.Incarnation(rand.Uint64())}.String())
-	c.mailbox = mailer.NewMailbox[driver.Event](mailboxSize)
+	c.mailbox = looper.NewMailbox[driver.Event](mailboxSize)
 	c.registry = &registry{mailbox: c.mailbox, security: c.Security}
 	c.registry.last.Store(uint64(operatorStream))
 	c.queues = &queues{mailbox: c.mailbox}
@@ -190,7 +190,7 @@
 
 	group, ctx := errgroup.WithContext(ctx)
 	c.peers = &peers{group: group, ctx: ctx, pool: pool, disk: c.disk, mailbox: c.mailbox, settings: c.Peers, self: c.Addr, contacts: known}
-	loop := &mailer.Loop[driver.Event, driver.Action]{Machine: c.machine, Mailbox: c.mailbox, Perform: c.perform, Clock: c.Clock}
+	loop := &looper.Loop[driver.Event, driver.Action]{Machine: c.machine, Mailbox: c.mailbox, Perform: c.perform, Clock: c.Clock}
 	group.Go(func() error { return c.disk.run(ctx) })
 	group.Go(func() error { return c.disk.save(ctx) })
 	group.Go(func() error { return loop.Run(ctx) })
@@ -215,7 +215,7 @@
 	if err := node.Check(); err != nil {
 		return nil, err
 	}
-	state, queues := registrar.New(specifier.MaxSubmissions), keeper.New(c.JobRetention)
+	state, queues := registrar.New(specifier.MaxSubmissions), jobrecorder.New(c.JobRetention)
 	if recovered.content != nil {
 		var err error
 		if queues, state, err = driver.DecodeImage(recovered.content, c.JobRetention); err != nil {
--- a/entry/runner/entry.go
+++ b/entry/runner/entry.go
@@ -15,21 +15,21 @@
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/stats"
 
-	"oleandertally/core/attender"
 	"oleandertally/core/authenticator"
 	"oleandertally/core/configurator"
 	"oleandertally/core/dialer"
 	"oleandertally/core/encoder"
-	"oleandertally/core/mailer"
+	"oleandertally/core/exporter"
+	"oleandertally/core/looper"
 	"oleandertally/core/operator"
 	"oleandertally/core/recorder"
-	"oleandertally/core/reporter"
+	"oleandertally/core/registrant"
 	"oleandertally/core/specifier"
 	"oleandertally/core/supervisor"
 	"oleandertally/dispatch/scheduler"
-	"oleandertally/entry/answerer"
+	"oleandertally/entry/connector"
 	"oleandertally/entry/coordinator"
-	"oleandertally/entry/linker"
+	"oleandertally/entry/responder"
 )
 
 // mailboxSize is the number of events that may wait for the control goroutine.
@@ -55,7 +55,7 @@
 	Settings configurator.EntrySettings
 	Security *authenticator.Authenticator
 	Events   *recorder.Buffer // its Process is set to the identity of the run
-	Metrics  *reporter.Entry
+	Metrics  *exporter.Entry
 	Health   *supervisor.Health
 	Log      zerolog.Logger
 	Stats    stats.Handler // of all connections that the entry opens, beside its own counts; default none
@@ -65,13 +65,13 @@
 
 	self     atomic.Pointer[specifier.Identity]
 	needs    atomic.Pointer[[]specifier.ServiceShare]
-	mailbox  *mailer.Mailbox[coordinator.Event]
+	mailbox  *looper.Mailbox[coordinator.Event]
 	drained  chan struct{}
-	waiters  *answerer.Waiters
-	proposer *linker.Proposer
-	agents   *linker.Agents
-	asker    *linker.Asker
-	lease    *attender.Lease
+	waiters  *responder.Waiters
+	proposer *connector.Proposer
+	agents   *connector.Agents
+	asker    *connector.Asker
+	lease    *registrant.Lease
 	pools    pools
 	web      *http.Server
 	server   *grpc.Server
@@ -100,12 +100,12 @@
 	identity := specifier.Identity{Name: e.Settings.Name, Incarnation: specifier.Incarnation(rand.Uint64())}
 	e.self.Store(&identity)
 	e.Events.SetProcess(identity.String())
-	e.mailbox = mailer.NewMailbox[coordinator.Event](mailboxSize)
+	e.mailbox = looper.NewMailbox[coordinator.Event](mailboxSize)
 	e.drained = make(chan struct{}, 1)
 	e.leave, e.attended = make(chan struct{}), make(chan struct{})
-	e.waiters = &answerer.Waiters{}
-	e.lease = attender.NewLease()
-	e.pools = newPools(e.Security, int(e.Settings.MaxMessage), &reporter.Bytes{Member: e.Metrics.Member}, e.Stats)
+	e.waiters = &responder.Waiters{}
+	e.lease = registrant.NewLease()
+	e.pools = newPools(e.Security, int(e.Settings.MaxMessage), &exporter.Bytes{Member: e.Metrics.Member}, e.Stats)
 	e.Health.Probe = e.probe
 	var err error
 	if e.callers, err = net.Listen("tcp", e.Settings.HTTPAddr.String()); err != nil {
@@ -122,16 +122,16 @@
 // serve prepares both servers.
 func (e *Entry) serve() {
 	limits := e.Settings.Limits
-	handler := &answerer.Handler{Sink: e.mailbox, Waiters: e.waiters, Clock: time.Now, Admit: e.Security.CheckAnyTeam,
+	handler := &responder.Handler{Sink: e.mailbox, Waiters: e.waiters, Clock: time.Now, Admit: e.Security.CheckAnyTeam,
 		Authorize: e.Security.CheckTeam, MaxBody: int64(limits.MaxBody), BodyTimeout: limits.BodyTimeout,
-		Requests: answerer.NewGate(limits.MaxRequests),
+		Requests: responder.NewGate(limits.MaxRequests),
 		Refused:  func(answer specifier.Answer) { e.Metrics.Answered(answer.Outcome, answer.Reason) }}
 	e.web = &http.Server{Handler: handler.Routes(), ReadHeaderTimeout: limits.HeaderTimeout, MaxHeaderBytes: 16 << 10}
 	if config := e.Security.CallerTLS(); config != nil {
 		e.callers = tls.NewListener(e.callers, config)
 	}
 	e.server = dialer.NewGuardedServer(e.Security.ServerOptions(guard, e.Settings.MaxMessage)...)
-	encoder.RegisterPeerServer(e.server, &answerer.Peer{Sink: e.mailbox, Waiters: e.waiters})
+	encoder.RegisterPeerServer(e.server, &responder.Peer{Sink: e.mailbox, Waiters: e.waiters})
 	encoder.RegisterTimelineServer(e.server, &operator.Timeline{Buffer: e.Events})
 }
 
@@ -148,7 +148,7 @@
 	e.connect(group, ctx)
 	machine := newMeter(coordinator.New(e.Settings.Limits.MaxJobs, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		&scheduler.Scheduler{Zone: e.Settings.Zone, Seed: rand.Uint64()}), e.Metrics)
-	loop := &mailer.Loop[coordinator.Event, coordinator.Action]{Machine: machine, Mailbox: e.mailbox, Perform: e.perform, Clock: time.Now}
+	loop := &looper.Loop[coordinator.Event, coordinator.Action]{Machine: machine, Mailbox: e.mailbox, Perform: e.perform, Clock: time.Now}
 	group.Go(func() error { return loop.Run(ctx) })
 	group.Go(func() error { return e.proposer.Run(ctx) })
 	group.Go(func() error { return e.lease.Run(ctx) })
@@ -160,10 +160,10 @@
 
 // connect prepares the streams to controllers, agents and other entries.
 func (e *Entry) connect(group *errgroup.Group, ctx context.Context) {
-	e.proposer = linker.NewProposer()
+	e.proposer = connector.NewProposer()
 	e.proposer.Controllers, e.proposer.Pool, e.proposer.Sink, e.proposer.Log = e.Settings.Controllers, e.pools.controllers, e.mailbox, e.Log
-	e.agents = &linker.Agents{Self: e.Self, Pool: e.pools.agents, Sink: e.mailbox, Log: e.Log, Clock: time.Now, Group: group, Ctx: ctx}
-	e.asker = &linker.Asker{Pool: e.pools.entries, Sink: e.mailbox, Group: group, Ctx: ctx}
+	e.agents = &connector.Agents{Self: e.Self, Pool: e.pools.agents, Sink: e.mailbox, Log: e.Log, Clock: time.Now, Group: group, Ctx: ctx}
+	e.asker = &connector.Asker{Pool: e.pools.entries, Sink: e.mailbox, Group: group, Ctx: ctx}
 	e.lease.Clock = time.Now
 	e.lease.Renewed = func(left time.Duration) {
 		e.Health.Meet(conditionLease)
@@ -174,7 +174,7 @@
 
 // attend attends at the controllers until the entry leaves.
 func (e *Entry) attend(group *errgroup.Group, ctx context.Context) {
-	attendance := attender.New()
+	attendance := registrant.New()
 	attendance.Member = specifier.Member{Identity: e.Self(), Role: specifier.Entry, Addr: e.Settings.PeerAddr,
 		Zone: e.Settings.Zone, Rack: e.Settings.Rack}
 	attendance.Needs = func() []specifier.ServiceShare {
@@ -194,7 +194,7 @@
 func (e *Entry) Self() specifier.Identity { return *e.self.Load() }
 
 // notify turns what the controllers say into events.
-func (e *Entry) notify(ctx context.Context, notice attender.Notice) error {
+func (e *Entry) notify(ctx context.Context, notice registrant.Notice) error {
 	var events []coordinator.Event
 	if !notice.Until.IsZero() {
 		e.self.Store(&notice.Self)
@@ -230,15 +230,15 @@
 	case coordinator.Propose:
 		e.proposer.Propose(action.Command)
 	case coordinator.Assign:
-		e.agents.Put(action.Agent, linker.EncodeAssign(action, time.Now()))
+		e.agents.Put(action.Agent, connector.EncodeAssign(action, time.Now()))
 	case coordinator.Withdraw:
-		e.agents.Put(action.Agent, linker.EncodeWithdraw(action))
+		e.agents.Put(action.Agent, connector.EncodeWithdraw(action))
 	case coordinator.Fence:
-		e.agents.Put(action.Agent, linker.EncodeFence(action, time.Now()))
+		e.agents.Put(action.Agent, connector.EncodeFence(action, time.Now()))
 	case coordinator.AskOwner:
 		e.asker.Ask(action)
 	case coordinator.Released:
-		e.agents.Put(action.Agent, linker.EncodeReleased())
+		e.agents.Put(action.Agent, connector.EncodeReleased())
 	case coordinator.Drained:
 		select {
 		case e.drained <- struct{}{}:
--- a/local/estimator/wire_test.go
+++ b/local/benchmarker/wire_test.go
@@ -1,4 +1,4 @@
-package estimator
+package benchmarker
 
 import (
 	"testing"
@@ -8,8 +8,8 @@
 
 	"oleandertally/core/encoder"
 	"oleandertally/core/specifier"
+	"oleandertally/entry/connector"
 	"oleandertally/entry/coordinator"
-	"oleandertally/entry/linker"
 )
 
 // frame is what gRPC adds to each message.
@@ -42,11 +42,11 @@
 // BenchmarkRenewal reports the bytes of one renewal and of its answer.
 func BenchmarkRenewal(b *testing.B) {
 	each(b, []int{1, 1000, 1_000_000}, func(b *testing.B, version int) {
-		presence := specifier.Presence{Revision: specifier.Revision(version)}
+		presence := specifier.Heartbeat{Revision: specifier.Revision(version)}
 		update := specifier.Update{Lease: 10 * time.Second, MemberVersion: uint64(version)}
 		var sent, received int
 		for b.Loop() {
-			sent, received = proto.Size(encoder.EncodePresence(presence))+frame, proto.Size(encoder.EncodeUpdate(update))+frame
+			sent, received = proto.Size(encoder.EncodeHeartbeat(presence))+frame, proto.Size(encoder.EncodeUpdate(update))+frame
 		}
 		b.ReportMetric(float64(sent), "B/renewal")
 		b.ReportMetric(float64(received), "B/grant")
@@ -79,7 +79,7 @@
 			Order: nine.Add(-200 * time.Millisecond), Deadline: nine.Add(10 * time.Second), Profile: "mix"}
 		var bytes int
 		for b.Loop() {
-			bytes = proto.Size(linker.EncodeAssign(assign, nine)) + frame
+			bytes = proto.Size(connector.EncodeAssign(assign, nine)) + frame
 		}
 		b.ReportMetric(float64(bytes), "B/task")
 	})
--- a/local/assembler/site.go
+++ b/local/deployer/site.go
@@ -1,4 +1,4 @@
-package assembler
+package deployer
 
 import (
 	"context"
@@ -20,15 +20,15 @@
 	"oleandertally/core/configurator"
 	"oleandertally/core/dialer"
 	"oleandertally/core/encoder"
-	"oleandertally/core/mailer"
+	"oleandertally/core/exporter"
+	"oleandertally/core/looper"
 	"oleandertally/core/recorder"
-	"oleandertally/core/reporter"
 	"oleandertally/core/specifier"
 	"oleandertally/core/supervisor"
+	"oleandertally/entry/connector"
 	"oleandertally/entry/coordinator"
-	"oleandertally/entry/linker"
 	entryrunner "oleandertally/entry/runner"
-	"oleandertally/local/imitator"
+	"oleandertally/local/emulator"
 	"oleandertally/state/replicator"
 )
 
@@ -51,7 +51,7 @@
 	MemberLease time.Duration
 	Profiles    []specifier.Profile
 	Teams       []specifier.Team
-	Starts      *imitator.StartLog
+	Starts      *emulator.StartLog
 	Log         zerolog.Logger
 	Stats       stats.Handler // of the streams that entries open; default none
 
@@ -153,7 +153,7 @@
 	name := fmt.Sprintf("controller-%d", i+1)
 	controller := &server.Controller{Name: name, Zone: s.zone(i), Addr: s.Layout.Controller(i), DataFolder: filepath.Join(s.DataFolder, name), Peers: s.peers(),
 		Bootstrap: i == 0 && s.isNew(name), MemberLease: s.MemberLease, MaxSubmissions: maxSubmissions, MaxMessage: encoder.MaxMessage,
-		Consensus: replicator.Defaults(), Security: insecureSite(), Metrics: reporter.NewController(),
+		Consensus: replicator.Defaults(), Security: insecureSite(), Metrics: exporter.NewController(),
 		Health: supervisor.NewHealth(server.Conditions()...), Log: s.Log}
 	return start(s.ctx, s.group, "controller", abrupt{controller.Run})
 }
@@ -184,12 +184,12 @@
 	settings.Name, settings.Zone, settings.Rack, settings.Service = fmt.Sprintf("worker-%02d", i+1), s.zone(i/perRack), fmt.Sprintf("rack-%d", i/perRack+1), s.Service
 	settings.AgentAddr, settings.AnnounceAddr, settings.Controllers = s.Layout.agent(i), s.Layout.announce(i), s.controllerAddrs()
 	agent := &agentrunner.Agent{Settings: settings, Security: insecureSite(), Events: s.buffer(), Log: s.Log,
-		Metrics: reporter.NewAgent(), Health: supervisor.NewHealth(agentrunner.Conditions()...)}
+		Metrics: exporter.NewAgent(), Health: supervisor.NewHealth(agentrunner.Conditions()...)}
 	return start(s.ctx, s.group, "agent", agent)
 }
 
 func (s *Site) startUpstream(i int) *process {
-	upstream := &imitator.Upstream{Worker: fmt.Sprintf("worker-%02d", i+1), Addr: s.Layout.upstream(i), AgentAddr: s.Layout.announce(i),
+	upstream := &emulator.Upstream{Worker: fmt.Sprintf("worker-%02d", i+1), Addr: s.Layout.upstream(i), AgentAddr: s.Layout.announce(i),
 		Slots: slots, Starts: s.Starts}
 	return start(s.ctx, s.group, "upstream", abrupt{upstream.Run})
 }
@@ -199,7 +199,7 @@
 	settings.Name, settings.Zone, settings.Rack = fmt.Sprintf("entry-%d", i+1), s.zone(i), fmt.Sprintf("entry-%d", i+1)
 	settings.HTTPAddr, settings.PeerAddr, settings.Controllers = s.Layout.Entry(i), s.Layout.entryPeer(i), s.controllerAddrs()
 	entry := &entryrunner.Entry{Settings: settings, Security: insecureSite(), Events: s.buffer(), Log: s.Log,
-		Stats: s.Stats, Metrics: reporter.NewEntry(), Health: supervisor.NewHealth(entryrunner.Conditions()...)}
+		Stats: s.Stats, Metrics: exporter.NewEntry(), Health: supervisor.NewHealth(entryrunner.Conditions()...)}
 	return start(s.ctx, s.group, "entry", entry)
 }
 
@@ -217,8 +217,8 @@
 	defer cancel()
 	pool := &dialer.Pool{Credentials: insecure.NewCredentials()}
 	defer pool.Close()
-	sink := mailer.NewMailbox[coordinator.Event](1)
-	proposer := linker.NewProposer()
+	sink := looper.NewMailbox[coordinator.Event](1)
+	proposer := connector.NewProposer()
 	proposer.Pool, proposer.Sink, proposer.Log = pool, sink, s.Log
 	for c := range s.Controllers {
 		proposer.Controllers = append(proposer.Controllers, s.Layout.Controller(c))
@@ -237,10 +237,10 @@
 	})
 	_ = group.Wait() // the proposer always ends with the context's error
 	if cause := context.Cause(s.ctx); cause != nil {
-		return errors.Wrap(cause, "assembler: a role ended before the first configuration")
+		return errors.Wrap(cause, "deployer: a role ended before the first configuration")
 	}
 	if decision.Verdict != specifier.Applied {
-		return errors.Newf("assembler: the first configuration was not accepted: %s %s", decision.Verdict, decision.Detail)
+		return errors.Newf("deployer: the first configuration was not accepted: %s %s", decision.Verdict, decision.Detail)
 	}
 	return nil
 }
--- a/local/prover/world_test.go
+++ b/local/simulator/world_test.go
@@ -1,4 +1,4 @@
-package prover
+package simulator
 
 import (
 	"fmt"
@@ -8,9 +8,9 @@
 	"time"
 
 	"oleandertally/controller/dispatcher"
-	"oleandertally/core/collector"
+	"oleandertally/core/container"
 	"oleandertally/core/specifier"
-	"oleandertally/state/keeper"
+	"oleandertally/state/jobrecorder"
 )
 
 const (
@@ -36,7 +36,7 @@
 	seed    uint64
 	random  *rand.Rand
 	now     time.Time
-	next    collector.Heap[occurrence]
+	next    container.Heap[occurrence]
 	counted int
 	faults  bool
 	leaders []*fakeLeader
@@ -52,11 +52,11 @@
 }
 
 func newWorld(t *testing.T, seed uint64) *world {
-	w := &world{t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1_000_000, 0), next: collector.Heap[occurrence]{Less: sooner},
+	w := &world{t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1_000_000, 0), next: container.Heap[occurrence]{Less: sooner},
 		faults: true, leading: -1, running: make(map[string]*workerRun), noted: make(map[string]bool), started: make(map[string]bool)}
 	for i := range controllers {
 		l := &fakeLeader{world: w, index: i}
-		l.machine = &dispatcher.Dispatcher{Keeper: keeper.New(time.Minute), Settings: dispatcher.Defaults(),
+		l.machine = &dispatcher.Dispatcher{Keeper: jobrecorder.New(time.Minute), Settings: dispatcher.Defaults(),
 			Leading: func(time.Time) bool { return w.leading == l.index }, Open: func() bool { return true }}
 		w.leaders = append(w.leaders, l)
 	}
--- a/state/keeper/image.go
+++ b/state/jobrecorder/image.go
@@ -1,4 +1,4 @@
-package keeper
+package jobrecorder
 
 import (
 	"io"
@@ -18,13 +18,13 @@
 const maxImage = 96 << 20
 
 // ErrImage marks an encoded state that can't be used.
-var ErrImage = errors.New("keeper: the encoded state of the queues is damaged")
+var ErrImage = errors.New("jobrecorder: the encoded state of the queues is damaged")
 
 // Image returns the state as a message that does not change while later commands are applied.
-func (k *Keeper) Image() *encoder.QueueImage {
-	m := &encoder.QueueImage{Manifest: encoder.EncodeManifest(k.manifest), Roster: k.Roster(), Now: k.now.UnixNano()}
-	for _, id := range slices.Sorted(maps.Keys(k.jobs)) {
-		record := k.jobs[id]
+func (r *Recorder) Image() *encoder.QueueImage {
+	m := &encoder.QueueImage{Manifest: encoder.EncodeManifest(r.manifest), Roster: r.Roster(), Now: r.now.UnixNano()}
+	for _, id := range slices.Sorted(maps.Keys(r.jobs)) {
+		record := r.jobs[id]
 		each := &encoder.QueueRecord{Job: encoder.EncodeQueuedJob(&record.Job), State: uint32(record.State)}
 		if record.State.Ended() {
 			each.Ended = record.Ended.UnixNano()
@@ -51,11 +51,11 @@
 // Write writes an image. Equal states give equal bytes.
 func Write(w io.Writer, image *encoder.QueueImage) error {
 	_, err := protodelim.MarshalOptions{MarshalOptions: proto.MarshalOptions{Deterministic: true}}.MarshalTo(w, image)
-	return errors.Wrap(err, "keeper: write the state of the queues")
+	return errors.Wrap(err, "jobrecorder: write the state of the queues")
 }
 
 // Read reads what Write wrote. A reader at its end gives the empty state.
-func Read(r protodelim.Reader, retention time.Duration) (*Keeper, error) {
+func Read(r protodelim.Reader, retention time.Duration) (*Recorder, error) {
 	k := New(retention)
 	m := &encoder.QueueImage{}
 	err := protodelim.UnmarshalOptions{MaxSize: maxImage}.UnmarshalFrom(r, m)
@@ -81,23 +81,23 @@
 	return k, nil
 }
 
-func (k *Keeper) load(m *encoder.QueueRecord) error {
+func (r *Recorder) load(m *encoder.QueueRecord) error {
 	state := specifier.QueueState(m.State)
 	if state.Ended() {
-		k.jobs[m.GetJob().GetID()] = &Record{State: state, Ended: time.Unix(0, m.Ended),
+		r.jobs[m.GetJob().GetID()] = &Record{State: state, Ended: time.Unix(0, m.Ended),
 			Job: specifier.QueuedJob{ID: m.GetJob().GetID(), Queue: m.GetJob().GetQueue()}}
-		k.ended = append(k.ended, m.GetJob().GetID())
+		r.ended = append(r.ended, m.GetJob().GetID())
 		return nil
 	}
 	job, err := encoder.DecodeQueuedJob(m.Job)
 	if err != nil || job == nil {
-		return errors.Mark(errors.Wrapf(err, "keeper: job %q", m.GetJob().GetID()), ErrImage)
+		return errors.Mark(errors.Wrapf(err, "jobrecorder: job %q", m.GetJob().GetID()), ErrImage)
 	}
 	record := newRecord(*job)
 	record.State = state
 	for step := range record.Done {
 		if step >= len(m.Done) || len(m.Done[step]) != len(record.Done[step]) {
-			return errors.Mark(errors.Newf("keeper: job %q: step %d does not fit its tasks", job.ID, step), ErrImage)
+			return errors.Mark(errors.Newf("jobrecorder: job %q: step %d does not fit its tasks", job.ID, step), ErrImage)
 		}
 		for i, bit := range m.Done[step] {
 			if bit != 0 {
@@ -108,11 +108,11 @@
 	}
 	for _, end := range m.Failures {
 		if !record.holds(int(end.Step), int(end.Index)) {
-			return errors.Mark(errors.Newf("keeper: job %q: task %d of step %d failed, which the job does not have", job.ID, end.Index, end.Step), ErrImage)
+			return errors.Mark(errors.Newf("jobrecorder: job %q: task %d of step %d failed, which the job does not have", job.ID, end.Index, end.Step), ErrImage)
 		}
 		at := place{int(end.Step), int(end.Index)}
 		record.failed[at] = append(record.failed[at], end.Run)
 	}
-	k.jobs[job.ID] = record
+	r.jobs[job.ID] = record
 	return nil
 }
