--- a/controller/dispatcher/leadership.go
+++ b/controller/dispatcher/leadership.go
@@ -29,8 +29,8 @@
 func (d *Dispatcher) lead(term uint64) {
 	d.reset()
 	d.leading, d.term, d.advanced = true, term, d.now
-	d.emit(Note{Event: "QueuesLed", Left: len(d.Keeper.Roster())})
-	if len(d.Keeper.Roster()) > 0 {
+	d.emit(Note{Event: "QueuesLed", Left: len(d.Keeper.EnrolledAgents())})
+	if len(d.Keeper.EnrolledAgents()) > 0 {
 		d.gather = d.now.Add(d.Settings.GrantSpan + d.Settings.GrantMargin)
 		d.wake(d.gather, timer{})
 	}
@@ -66,7 +66,7 @@
 		return
 	}
 	late := !d.now.Before(d.gather)
-	for _, name := range d.Keeper.Roster() {
+	for _, name := range d.Keeper.EnrolledAgents() {
 		h := d.holders[name]
 		if h != nil && h.listed && h.settled {
 			continue
--- a/state/jobrecorder/image.go
+++ b/state/jobrecorder/image.go
@@ -22,7 +22,7 @@
 
 // Image returns the state as a message that does not change while later commands are applied.
 func (r *Recorder) Image() *encoder.QueueImage {
-	m := &encoder.QueueImage{Manifest: encoder.EncodeManifest(r.manifest), Roster: r.Roster(), Now: r.now.UnixNano()}
+	m := &encoder.QueueImage{Manifest: encoder.EncodeManifest(r.manifest), Roster: r.EnrolledAgents(), Now: r.now.UnixNano()}
 	for _, id := range slices.Sorted(maps.Keys(r.jobs)) {
 		record := r.jobs[id]
 		each := &encoder.QueueRecord{Job: encoder.EncodeQueuedJob(&record.Job), State: uint32(record.State)}
--- a/state/jobrecorder/recorder.go
+++ b/state/jobrecorder/recorder.go
@@ -47,8 +47,8 @@
 // Enrolled reports whether the agent may run tasks.
 func (r *Recorder) Enrolled(agent string) bool { return r.roster[agent] }
 
-// Roster returns the agents that may run tasks, sorted.
-func (r *Recorder) Roster() []string { return slices.Sorted(maps.Keys(r.roster)) }
+// EnrolledAgents returns the agents that may run tasks, sorted.
+func (r *Recorder) EnrolledAgents() []string { return slices.Sorted(maps.Keys(r.roster)) }
 
 // Apply applies one command.
 func (r *Recorder) Apply(command specifier.QueueCommand) {
