--- a/controller/dispatcher/leadership.go
+++ b/controller/dispatcher/leadership.go
@@ -34,7 +34,7 @@
 		d.gather = d.now.Add(d.Settings.GrantSpan + d.Settings.GrantMargin)
 		d.wake(d.gather, timer{})
 	}
-	for _, id := range d.Keeper.Open() {
+	for _, id := range d.Keeper.OpenJobs() {
 		record := d.Keeper.Job(id)
 		queue, _ := d.Keeper.Manifest().Named(record.Job.Queue)
 		j := newJob(record.Job, queue, d.now)
--- a/local/simulator/world_test.go
+++ b/local/simulator/world_test.go
@@ -177,7 +177,7 @@
 		caller.check()
 	}
 	if at := slices.IndexFunc(w.leaders, func(l *fakeLeader) bool { return l.index == w.leading }); at >= 0 {
-		for _, id := range w.leaders[at].machine.Keeper.Open() {
+		for _, id := range w.leaders[at].machine.Keeper.OpenJobs() {
 			w.broken("job %s was kept and has not ended %v after the last fault", id, settleTime)
 		}
 	}
--- a/state/jobrecorder/recorder.go
+++ b/state/jobrecorder/recorder.go
@@ -32,8 +32,8 @@
 // Job returns the record of a job, or nil. It must not be changed.
 func (r *Recorder) Job(id string) *Record { return r.jobs[id] }
 
-// Open returns the IDs of all jobs that have not ended, sorted.
-func (r *Recorder) Open() []string {
+// OpenJobs returns the IDs of all jobs that have not ended, sorted.
+func (r *Recorder) OpenJobs() []string {
 	var open []string
 	for id, record := range r.jobs {
 		if !record.State.Ended() {
