--- a/controller/dispatcher/end.go
+++ b/controller/dispatcher/end.go
@@ -76,7 +76,7 @@
 		r.task = nil
 	}
 	recording := specifier.TaskEnd{Job: t.job.ID, Step: t.step, Index: t.index, Run: end.Key.Run, How: end.How}
-	if known := d.Keeper.Job(t.job.ID); known == nil || !known.Counts(recording) {
+	if known := d.Keeper.Job(t.job.ID); known == nil || !known.ChangedBy(recording) {
 		if t.run == r && t.state == taskPlaced {
 			d.enqueue(t)
 		}
--- a/state/jobrecorder/record.go
+++ b/state/jobrecorder/record.go
@@ -34,8 +34,8 @@
 // Failures returns how many runs of the task have failed.
 func (r *Record) Failures(step, index int) int { return len(r.failed[place{step, index}]) }
 
-// Counts reports whether the end of a run changes the record: the task is not done, and the run is not known to have failed.
-func (r *Record) Counts(end specifier.TaskEnd) bool {
+// ChangedBy reports whether the end of a run changes the record: the task is not done, and the run is not known to have failed.
+func (r *Record) ChangedBy(end specifier.TaskEnd) bool {
 	return !r.State.Ended() && r.holds(end.Step, end.Index) && !r.Done[end.Step][end.Index] &&
 		!slices.Contains(r.failed[place{end.Step, end.Index}], end.Run)
 }
--- a/state/jobrecorder/recorder.go
+++ b/state/jobrecorder/recorder.go
@@ -79,7 +79,7 @@
 // nothing: successive leaders may record the same end.
 func (r *Recorder) note(end specifier.TaskEnd) {
 	record := r.jobs[end.Job]
-	if record == nil || !record.Counts(end) {
+	if record == nil || !record.ChangedBy(end) {
 		return
 	}
 	record.State = specifier.JobRunning
