--- a/controller/driver/prune.go
+++ b/controller/driver/prune.go
@@ -36,7 +36,7 @@
 			voters++
 		}
 		silent := slices.ContainsFunc(peers, func(peer replicator.PeerStatus) bool {
-			return peer.ID == server.ID && now.Sub(peer.Heard) > d.DeadAfter
+			return peer.ID == server.ID && now.Sub(peer.LastContact) > d.DeadAfter
 		})
 		if silent && (dead.IsZero() || !server.Voter) {
 			dead, learner = server.ID, !server.Voter
--- a/controller/driver/status.go
+++ b/controller/driver/status.go
@@ -53,7 +53,7 @@
 		}
 		for _, peer := range peers {
 			if peer.ID == server.ID {
-				status.SyncedIndex, status.SinceHeard = uint64(peer.Synced), now.Sub(peer.Heard)
+				status.SyncedIndex, status.SinceHeard = uint64(peer.Synced), now.Sub(peer.LastContact)
 			}
 		}
 		list = append(list, status)
--- a/state/replicator/status.go
+++ b/state/replicator/status.go
@@ -13,9 +13,9 @@
 	}
 	peers := make([]PeerStatus, 0, len(n.lead.peers))
 	for _, each := range n.lead.peers {
-		status := PeerStatus{ID: each.id, Synced: each.match, Heard: each.acked}
-		if status.Heard.Before(n.lead.since) {
-			status.Heard = n.lead.since
+		status := PeerStatus{ID: each.id, Synced: each.match, LastContact: each.acked}
+		if status.LastContact.Before(n.lead.since) {
+			status.LastContact = n.lead.since
 		}
 		peers = append(peers, status)
 	}
