--- a/state/jobrecorder/image.go
+++ b/state/jobrecorder/image.go
@@ -22,12 +22,12 @@
 
 // Image returns the state as a message that does not change while later commands are applied.
 func (r *Recorder) Image() *encoder.QueueImage {
-	m := &encoder.QueueImage{Manifest: encoder.EncodeManifest(r.manifest), Roster: r.EnrolledAgents(), Now: r.now.UnixNano()}
+	image := &encoder.QueueImage{Manifest: encoder.EncodeManifest(r.manifest), Roster: r.EnrolledAgents(), Now: r.now.UnixNano()}
 	for _, id := range slices.Sorted(maps.Keys(r.jobs)) {
 		record := r.jobs[id]
-		each := &encoder.QueueRecord{Job: encoder.EncodeQueuedJob(&record.Job), State: uint32(record.State)}
+		encoded := &encoder.QueueRecord{Job: encoder.EncodeQueuedJob(&record.Job), State: uint32(record.State)}
 		if record.State.Ended() {
-			each.Ended = record.Ended.UnixNano()
+			encoded.Ended = record.Ended.UnixNano()
 		}
 		for _, done := range record.Done {
 			bits := make([]byte, len(done))
@@ -36,16 +36,16 @@
 					bits[i] = 1
 				}
 			}
-			each.Done = append(each.Done, bits)
+			encoded.Done = append(encoded.Done, bits)
 		}
-		for _, at := range slices.SortedFunc(maps.Keys(record.failed), comparePlaces) {
-			for _, run := range record.failed[at] {
-				each.Failures = append(each.Failures, &encoder.QueueEnd{Step: uint32(at.step), Index: uint32(at.index), Run: run, How: uint32(specifier.EndFailed)})
+		for _, task := range slices.SortedFunc(maps.Keys(record.failed), comparePositions) {
+			for _, run := range record.failed[task] {
+				encoded.Failures = append(encoded.Failures, &encoder.QueueEnd{Step: uint32(task.step), Index: uint32(task.index), Run: run, How: uint32(specifier.EndFailed)})
 			}
 		}
-		m.Jobs = append(m.Jobs, each)
+		image.Jobs = append(image.Jobs, encoded)
 	}
-	return m
+	return image
 }
 
 // Write writes an image. Equal states give equal bytes.
@@ -56,62 +56,62 @@
 
 // Read reads what Write wrote. A reader at its end gives the empty state.
 func Read(r protodelim.Reader, retention time.Duration) (*Recorder, error) {
-	k := New(retention)
-	m := &encoder.QueueImage{}
-	err := protodelim.UnmarshalOptions{MaxSize: maxImage}.UnmarshalFrom(r, m)
+	recorder := New(retention)
+	image := &encoder.QueueImage{}
+	err := protodelim.UnmarshalOptions{MaxSize: maxImage}.UnmarshalFrom(r, image)
 	if errors.Is(err, io.EOF) {
-		return k, nil
+		return recorder, nil
 	}
 	if err != nil {
 		return nil, errors.Mark(err, ErrImage)
 	}
-	k.now = time.Unix(0, m.Now)
-	if manifest := encoder.DecodeManifest(m.Manifest); manifest != nil {
-		k.manifest = manifest
+	recorder.now = time.Unix(0, image.Now)
+	if manifest := encoder.DecodeManifest(image.Manifest); manifest != nil {
+		recorder.manifest = manifest
 	}
-	for _, agent := range m.Roster {
-		k.roster[agent] = true
+	for _, agent := range image.Roster {
+		recorder.enrolledAgents[agent] = true
 	}
-	for _, each := range m.Jobs {
-		if err := k.load(each); err != nil {
+	for _, encoded := range image.Jobs {
+		if err := recorder.loadJob(encoded); err != nil {
 			return nil, err
 		}
 	}
-	slices.SortStableFunc(k.ended, func(a, b string) int { return k.jobs[a].Ended.Compare(k.jobs[b].Ended) })
-	return k, nil
+	slices.SortStableFunc(recorder.endedJobs, func(a, b string) int { return recorder.jobs[a].Ended.Compare(recorder.jobs[b].Ended) })
+	return recorder, nil
 }
 
-func (r *Recorder) load(m *encoder.QueueRecord) error {
-	state := specifier.QueueState(m.State)
+func (r *Recorder) loadJob(encoded *encoder.QueueRecord) error {
+	state := specifier.QueueState(encoded.State)
 	if state.Ended() {
-		r.jobs[m.GetJob().GetID()] = &Record{State: state, Ended: time.Unix(0, m.Ended),
-			Job: specifier.QueuedJob{ID: m.GetJob().GetID(), Queue: m.GetJob().GetQueue()}}
-		r.ended = append(r.ended, m.GetJob().GetID())
+		r.jobs[encoded.GetJob().GetID()] = &Record{State: state, Ended: time.Unix(0, encoded.Ended),
+			Job: specifier.QueuedJob{ID: encoded.GetJob().GetID(), Queue: encoded.GetJob().GetQueue()}}
+		r.endedJobs = append(r.endedJobs, encoded.GetJob().GetID())
 		return nil
 	}
-	job, err := encoder.DecodeQueuedJob(m.Job)
+	job, err := encoder.DecodeQueuedJob(encoded.Job)
 	if err != nil || job == nil {
-		return errors.Mark(errors.Wrapf(err, "jobrecorder: job %q", m.GetJob().GetID()), ErrImage)
+		return errors.Mark(errors.Wrapf(err, "jobrecorder: job %q", encoded.GetJob().GetID()), ErrImage)
 	}
 	record := newRecord(*job)
 	record.State = state
 	for step := range record.Done {
-		if step >= len(m.Done) || len(m.Done[step]) != len(record.Done[step]) {
+		if step >= len(encoded.Done) || len(encoded.Done[step]) != len(record.Done[step]) {
 			return errors.Mark(errors.Newf("jobrecorder: job %q: step %d does not fit its tasks", job.ID, step), ErrImage)
 		}
-		for i, bit := range m.Done[step] {
+		for i, bit := range encoded.Done[step] {
 			if bit != 0 {
 				record.Done[step][i] = true
-				record.left--
+				record.remaining--
 			}
 		}
 	}
-	for _, end := range m.Failures {
-		if !record.holds(int(end.Step), int(end.Index)) {
+	for _, end := range encoded.Failures {
+		if !record.hasTask(int(end.Step), int(end.Index)) {
 			return errors.Mark(errors.Newf("jobrecorder: job %q: task %d of step %d failed, which the job does not have", job.ID, end.Index, end.Step), ErrImage)
 		}
-		at := place{int(end.Step), int(end.Index)}
-		record.failed[at] = append(record.failed[at], end.Run)
+		task := position{int(end.Step), int(end.Index)}
+		record.failed[task] = append(record.failed[task], end.Run)
 	}
 	r.jobs[job.ID] = record
 	return nil
--- a/state/jobrecorder/place.go
+++ b/state/jobrecorder/position.go
@@ -3,11 +3,11 @@
 import "cmp"
 
 // place names a task within its job.
-type place struct {
+type position struct {
 	step  int
 	index int
 }
 
-func comparePlaces(a, b place) int {
+func comparePositions(a, b position) int {
 	return cmp.Or(cmp.Compare(a.step, b.step), cmp.Compare(a.index, b.index))
 }
--- a/state/jobrecorder/record.go
+++ b/state/jobrecorder/record.go
@@ -14,12 +14,12 @@
 	Done  [][]bool  // by step and task
 	Ended time.Time // on the log's clock; zero until then
 
-	left   int                // tasks that are not done
-	failed map[place][]uint64 // runs that failed
+	remaining int                   // tasks that are not done
+	failed    map[position][]uint64 // runs that failed
 }
 
 func newRecord(job specifier.QueuedJob) *Record {
-	record := &Record{Job: job, left: job.Tasks(), failed: make(map[place][]uint64)}
+	record := &Record{Job: job, remaining: job.Tasks(), failed: make(map[position][]uint64)}
 	for _, step := range job.Steps {
 		record.Done = append(record.Done, make([]bool, step.Count))
 	}
@@ -27,17 +27,17 @@
 }
 
 // holds reports whether the job has such a task.
-func (r *Record) holds(step, index int) bool {
+func (r *Record) hasTask(step, index int) bool {
 	return step >= 0 && step < len(r.Done) && index >= 0 && index < len(r.Done[step])
 }
 
 // Failures returns how many runs of the task have failed.
-func (r *Record) Failures(step, index int) int { return len(r.failed[place{step, index}]) }
+func (r *Record) Failures(step, index int) int { return len(r.failed[position{step, index}]) }
 
 // ChangedBy reports whether the end of a run changes the record: the task is not done, and the run is not known to have failed.
 func (r *Record) ChangedBy(end specifier.TaskEnd) bool {
-	return !r.State.Ended() && r.holds(end.Step, end.Index) && !r.Done[end.Step][end.Index] &&
-		!slices.Contains(r.failed[place{end.Step, end.Index}], end.Run)
+	return !r.State.Ended() && r.hasTask(end.Step, end.Index) && !r.Done[end.Step][end.Index] &&
+		!slices.Contains(r.failed[position{end.Step, end.Index}], end.Run)
 }
 
 func (r *Record) end(state specifier.QueueState, now time.Time) {
--- a/state/replicator/change.go
+++ b/state/replicator/change.go
@@ -2,7 +2,7 @@
 
 // membersChanged follows a change of the list in force.
 func (n *Node) membersChanged() {
-	n.membersTold = false
+	n.membersAnnounced = false
 	if n.lead != nil {
 		n.lead.setServers(n.members.current().servers, n.Self, n.log.last())
 	}
@@ -10,26 +10,26 @@
 
 // changing reports whether the newest membership is not committed. Two lists that differ by one voter have a common server in
 // all their majorities; lists that are further apart need not.
-func (n *Node) changing() bool { return n.members.current().index > n.commit }
+func (n *Node) changePending() bool { return n.members.current().index > n.commit }
 
 // changeServers appends a new list and returns its index.
-func (n *Node) changeServers(servers []Server) Index {
+func (n *Node) appendMembership(servers []Server) Index {
 	index := n.log.last() + 1
 	n.appendEntries([]Entry{{Index: index, Term: n.state.Term, Kind: Membership, Servers: servers}})
 	return index
 }
 
 func (n *Node) requestChange(ticket Ticket, reason Reason, servers []Server) {
-	if first := n.refusal(); first != "" {
-		reason = first
-	} else if n.changing() {
+	if refusal := n.refusalReason(); refusal != "" {
+		reason = refusal
+	} else if n.changePending() {
 		reason = ChangePending
 	}
 	if reason != "" {
 		n.refuse(ticket, reason)
 		return
 	}
-	n.emit(Proposed{Ticket: ticket, Index: n.changeServers(servers), Term: n.state.Term})
+	n.emit(Proposed{Ticket: ticket, Index: n.appendMembership(servers), Term: n.state.Term})
 }
 
 func (n *Node) addServer(event AddServer) {
@@ -37,7 +37,7 @@
 	if _, known := current.find(event.Server.ID); known {
 		reason = KnownServer
 	}
-	if old := event.Server.Replaces; !old.IsZero() && !current.votes(old) {
+	if old := event.Server.Replaces; !old.IsZero() && !current.isVoter(old) {
 		reason = UnknownServer
 	}
 	server := event.Server
@@ -49,9 +49,9 @@
 	current, reason := n.members.current(), Reason("")
 	if _, known := current.find(event.ID); !known {
 		reason = UnknownServer
-	} else if current.votes(event.ID) && len(current.voters) == 1 {
+	} else if current.isVoter(event.ID) && len(current.voters) == 1 {
 		reason = LastVoter
-	} else if n.role == Leader && !n.answering(newMembership(0, current.without(event.ID))) {
+	} else if n.role == Leader && !n.majorityResponsive(newMembership(0, current.without(event.ID))) {
 		reason = NoMajority
 	}
 	n.requestChange(event.Ticket, reason, current.without(event.ID))
@@ -59,38 +59,38 @@
 
 // answering reports whether most voters of a list answered within the lease. A list without such a majority
 // could not be committed, nor replaced by another one.
-func (n *Node) answering(list membership) bool {
+func (n *Node) majorityResponsive(list membership) bool {
 	voters, count := list.voters, 0
 	for _, id := range voters {
-		if id == n.Self || n.answers(n.lead.peer(id)) {
+		if id == n.Self || n.responsive(n.lead.peer(id)) {
 			count++
 		}
 	}
 	return count > len(voters)/2
 }
 
-func (n *Node) answers(peer *peer) bool {
-	return peer != nil && n.now.Before(peer.acked.Add(n.Settings.Lease))
+func (n *Node) responsive(peer *peer) bool {
+	return peer != nil && n.now.Before(peer.ackedRoundStart.Add(n.Settings.Lease))
 }
 
 // continueChange takes the next step of additions under way, one committed list at a time.
 func (n *Node) continueChange() {
-	if !n.ready() || n.changing() {
+	if !n.ready() || n.changePending() {
 		return
 	}
 	current := n.members.current()
-	if !current.votes(n.Self) {
-		n.handOver(n.best())
+	if !current.isVoter(n.Self) {
+		n.transferLeadership(n.bestSuccessor())
 		return
 	}
 	for _, server := range current.servers {
-		if server.Voter && current.votes(server.Replaces) {
-			n.changeServers(current.without(server.Replaces))
+		if server.Voter && current.isVoter(server.Replaces) {
+			n.appendMembership(current.without(server.Replaces))
 			return
 		}
 		if !server.Voter && n.caughtUp(server.ID) {
 			server.Voter = true
-			n.changeServers(current.with(server))
+			n.appendMembership(current.with(server))
 			return
 		}
 	}
@@ -99,5 +99,5 @@
 // caughtUp reports whether a learner holds every committed entry and answers.
 func (n *Node) caughtUp(id ServerID) bool {
 	peer := n.lead.peer(id)
-	return n.answers(peer) && peer.match >= n.commit
+	return n.responsive(peer) && peer.match >= n.commit
 }
--- a/state/replicator/check.go
+++ b/state/replicator/check.go
@@ -41,10 +41,10 @@
 }
 
 // consecutive reports whether indexes have no gap and terms do not decrease, up to the sender's term.
-func (m AppendEntries) consecutive(last Term) bool {
+func (m AppendEntries) consecutive(maxTerm Term) bool {
 	index, term := m.PrevIndex, m.PrevTerm
 	for _, entry := range m.Entries {
-		if entry.Index != index+1 || entry.Term < term || entry.Term > last {
+		if entry.Index != index+1 || entry.Term < term || entry.Term > maxTerm {
 			return false
 		}
 		index, term = entry.Index, entry.Term
--- a/state/replicator/cluster_test.go
+++ b/state/replicator/cluster_test.go
@@ -15,16 +15,16 @@
 
 // cluster runs several servers in one goroutine and checks the safety rules after every step.
 type cluster struct {
-	settings Settings
-	random   *rand.Rand
-	now      time.Time
-	hosts    []*host
-	packets  []packet
-	blocked  map[[2]ServerID]bool
-	proposed uint64
-	refused  []Refused
-	rules    *rules
-	err      error
+	settings   Settings
+	random     *rand.Rand
+	now        time.Time
+	hosts      []*host
+	packets    []packet
+	blocked    map[[2]ServerID]bool
+	proposed   uint64
+	refused    []Refused
+	invariants *invariants
+	err        error
 }
 
 // testSettings leave the lease little room: with clocks that differ by 10% in rate it ends 50 ms before the election timeout.
@@ -36,7 +36,7 @@
 // newCluster starts voters servers that bootstrap together.
 func newCluster(voters int, seed uint64, settings Settings) *cluster {
 	c := &cluster{settings: settings, random: rand.New(rand.NewPCG(seed, 1)), now: epoch.Add(time.Hour),
-		blocked: make(map[[2]ServerID]bool), rules: newRules()}
+		blocked: make(map[[2]ServerID]bool), invariants: newInvariants()}
 	var servers []Server
 	for range voters {
 		servers = append(servers, Server{ID: c.addHost(string(rune('a' + len(c.hosts)))).id, Voter: true})
@@ -50,28 +50,28 @@
 // addHost starts a server with an empty disk.
 func (c *cluster) addHost(name string) *host {
 	h := &host{id: ServerID{Name: name, Disk: uint64(len(c.hosts) + 1)}, disk: newDisk(),
-		offset: time.Duration(len(c.hosts)) * 7 * time.Minute, rate: []int{100, 105, 95, 103, 97}[len(c.hosts)%5]}
+		clockOffset: time.Duration(len(c.hosts)) * 7 * time.Minute, clockRate: []int{100, 105, 95, 103, 97}[len(c.hosts)%5]}
 	c.hosts = append(c.hosts, h)
-	c.start(h)
+	c.startHost(h)
 	return h
 }
 
-func (c *cluster) start(h *host) {
+func (c *cluster) startHost(h *host) {
 	h.up = true
 	h.node = &Node{Self: h.id, Settings: c.settings, Recovered: h.disk.recovered(),
 		Random: rand.New(rand.NewPCG(c.random.Uint64(), 2))}
 	if err := h.node.Check(); err != nil {
 		c.fail("%v: %v", h.id, err)
 	}
-	h.applied, h.led = h.disk.snapshot.Index, false
-	h.checked, h.digest = h.applied, h.disk.snapshots[h.applied]
+	h.applied, h.wasLeader = h.disk.snapshot.Index, false
+	h.checkedCommit, h.digest = h.applied, h.disk.snapshots[h.applied]
 	c.step(h, Started{})
 }
 
 // crash loses every write after the first kept ones.
 func (c *cluster) crash(h *host, kept int) {
 	_, err := h.disk.write(kept)
-	c.check(err)
+	c.recordError(err)
 	if restore, ok := h.disk.next().(Restore); ok && c.random.IntN(2) == 0 {
 		// The snapshot took the place of the old one, and the stored log was not reset.
 		h.disk.snapshot = restore.Snapshot
@@ -79,9 +79,9 @@
 	h.up, h.disk.queue, h.disk.saving = false, nil, nil
 }
 
-func (c *cluster) fail(format string, args ...any) { c.check(fmt.Errorf(format, args...)) }
+func (c *cluster) fail(format string, args ...any) { c.recordError(fmt.Errorf(format, args...)) }
 
-func (c *cluster) check(err error) {
+func (c *cluster) recordError(err error) {
 	if c.err == nil {
 		c.err = err
 	}
@@ -102,7 +102,7 @@
 
 func (c *cluster) perform(h *host, actions []Action) {
 	// A commit is judged before the entries are applied and may be compacted.
-	c.check(c.rules.observe(h, c.hosts, c.now, actions))
+	c.recordError(c.invariants.checkStep(h, c.hosts, c.now, actions))
 	for _, action := range actions {
 		switch action := action.(type) {
 		case Persist, Append, Truncate, Compact:
@@ -110,7 +110,7 @@
 		case Restore:
 			h.disk.queue = append(h.disk.queue, action)
 			h.applied, h.digest = action.Snapshot.Index, h.disk.snapshots[action.Snapshot.Index]
-			c.check(c.rules.restored(h))
+			c.recordError(c.invariants.checkState(h))
 		case Send:
 			c.packets = append(c.packets, packet{envelope: action.Envelope})
 		case SendSnapshot:
@@ -119,7 +119,7 @@
 		case SaveSnapshot:
 			h.disk.saving, h.disk.digest = &action, h.digest
 		case Apply:
-			c.check(c.rules.apply(h, action.Entries))
+			c.recordError(c.invariants.applyEntries(h, action.Entries))
 		case Refused:
 			c.refused = append(c.refused, action)
 		}
@@ -127,7 +127,7 @@
 }
 
 // take removes a packet from the network.
-func (c *cluster) take(i int) packet {
+func (c *cluster) removePacket(i int) packet {
 	p := c.packets[i]
 	c.packets = append(c.packets[:i], c.packets[i+1:]...)
 	return p
@@ -160,7 +160,7 @@
 // sync makes the first count queued writes of h durable and reports them.
 func (c *cluster) sync(h *host, count int) {
 	last, err := h.disk.write(count)
-	c.check(err)
+	c.recordError(err)
 	if last > 0 {
 		c.step(h, Synced{Write: last})
 	}
@@ -168,7 +168,7 @@
 
 func (c *cluster) saveSnapshot(h *host) {
 	if h.up && h.disk.saving != nil {
-		c.step(h, SnapshotSaved{Index: h.disk.finishSnapshot()})
+		c.step(h, SnapshotSaved{Index: h.disk.completeSnapshot()})
 	}
 }
 
@@ -204,7 +204,7 @@
 			c.expire(h)
 		}
 	}
-	c.check(c.rules.leases(c.hosts, c.now))
+	c.recordError(c.invariants.checkLeases(c.hosts, c.now))
 }
 
 // drain delivers and syncs everything, in order, until nothing is under way.
@@ -216,7 +216,7 @@
 		}
 		busy = len(c.packets) > 0
 		for n := len(c.packets); n > 0; n-- {
-			c.deliver(c.take(0))
+			c.deliver(c.removePacket(0))
 		}
 		for _, h := range c.hosts {
 			busy = busy || h.up && len(h.disk.queue) > 0
@@ -229,7 +229,7 @@
 }
 
 // run behaves orderly until done, but at most for limit. It returns whether done came true.
-func (c *cluster) run(limit time.Duration, done func() bool) bool {
+func (c *cluster) runWithoutFaults(limit time.Duration, done func() bool) bool {
 	for end := c.now.Add(limit); c.err == nil; {
 		c.drain()
 		if done() {
--- a/state/replicator/heldsend.go
+++ b/state/replicator/deferredsend.go
@@ -1,7 +1,7 @@
 package replicator
 
 // heldSend is a message that must not leave before a disk write is durable.
-type heldSend struct {
+type deferredSend struct {
 	write    Write
 	envelope Envelope
 }
--- a/state/replicator/disk.go
+++ b/state/replicator/disk.go
@@ -3,13 +3,13 @@
 import "github.com/cockroachdb/errors"
 
 func (n *Node) nextWrite() Write {
-	n.issued++
-	return n.issued
+	n.lastIssued++
+	return n.lastIssued
 }
 
 func (n *Node) persist() {
-	n.persisted = n.nextWrite()
-	n.emit(Persist{Write: n.persisted, State: n.state})
+	n.lastPersist = n.nextWrite()
+	n.emit(Persist{Write: n.lastPersist, State: n.state})
 }
 
 // appendEntries adds entries to the log in memory and on disk.
@@ -19,7 +19,7 @@
 		n.membersChanged()
 	}
 	write := n.nextWrite()
-	n.writes = append(n.writes, logWrite{write: write, last: n.log.last(), issued: n.now})
+	n.writes = append(n.writes, logWrite{write: write, last: n.log.last(), issuedAt: n.now})
 	n.emit(Append{Write: write, Entries: entries})
 }
 
@@ -48,22 +48,22 @@
 	n.commit, n.applied = snapshot.Index, snapshot.Index
 	n.synced = 0
 	write := n.nextWrite()
-	n.writes = []logWrite{{write: write, last: snapshot.Index, issued: n.now}}
+	n.writes = []logWrite{{write: write, last: snapshot.Index, issuedAt: n.now}}
 	n.emit(Restore{Write: write, Snapshot: snapshot})
 }
 
 // sync notes that the disk actions up to write are durable, and releases what waited for them.
-func (n *Node) sync(write Write) {
-	n.durable = max(n.durable, min(write, n.issued))
+func (n *Node) markDurable(write Write) {
+	n.durable = max(n.durable, min(write, n.lastIssued))
 	for len(n.writes) > 0 && n.writes[0].write <= n.durable {
 		n.synced = n.writes[0].last
 		n.writes = n.writes[1:]
 	}
-	for len(n.held) > 0 && n.held[0].write <= n.durable {
-		n.emit(Send{n.held[0].envelope})
-		n.held = n.held[1:]
+	for len(n.deferred) > 0 && n.deferred[0].write <= n.durable {
+		n.emit(Send{n.deferred[0].envelope})
+		n.deferred = n.deferred[1:]
 	}
-	if n.role == Candidate && n.persisted <= n.durable {
+	if n.role == Candidate && n.lastPersist <= n.durable {
 		n.countVote(n.Self)
 	}
 }
@@ -90,7 +90,7 @@
 		return
 	}
 	term, _ := n.log.term(n.applied)
-	n.saving = Snapshot{Index: n.applied, Term: term, Servers: n.members.at(n.applied)}
+	n.saving = Snapshot{Index: n.applied, Term: term, Servers: n.members.serversAt(n.applied)}
 	n.emit(SaveSnapshot{Snapshot: n.saving})
 }
 
--- a/state/replicator/disk_test.go
+++ b/state/replicator/disk_test.go
@@ -70,7 +70,7 @@
 }
 
 // holds reports whether the entry at index survives a crash.
-func (d *disk) holds(index Index, term Term) bool {
+func (d *disk) isDurable(index Index, term Term) bool {
 	if index <= d.snapshot.Index {
 		return true
 	}
@@ -78,7 +78,7 @@
 }
 
 // finishSnapshot makes the snapshot that is being saved durable.
-func (d *disk) finishSnapshot() Index {
+func (d *disk) completeSnapshot() Index {
 	saved := d.saving.Snapshot
 	d.saving = nil
 	d.snapshots[saved.Index] = d.digest
--- a/state/replicator/election.go
+++ b/state/replicator/election.go
@@ -11,30 +11,30 @@
 
 // mayCampaign reports whether this server is a voter. One whose removal is not committed still campaigns: if its log is the
 // longest, the others can't elect anyone without its vote, which it refuses to shorter logs.
-func (n *Node) mayCampaign() bool { return n.members.voted(n.Self, n.commit) }
+func (n *Node) mayCampaign() bool { return n.members.mayVote(n.Self, n.commit) }
 
 // campaign begins with a pre-vote: a server that was cut off does not raise the term of the others.
-func (n *Node) campaign() {
+func (n *Node) startPreVote() {
 	n.resetElection()
 	if !n.mayCampaign() {
 		return
 	}
 	n.role, n.leader = PreCandidate, ServerID{}
 	n.votes = make(map[ServerID]bool)
-	n.requestVotes(n.state.Term+1, RequestVote{PreVote: true}, n.broadcastNow)
+	n.requestVotes(n.state.Term+1, RequestVote{PreVote: true}, n.sendNow)
 	n.countVote(n.Self)
 }
 
 // elect campaigns in a new term. Requests and the own vote wait until term and vote are durable.
-func (n *Node) elect(transfer bool) {
+func (n *Node) startElection(transfer bool) {
 	n.resetElection()
-	n.becomeTerm(HardState{Term: n.state.Term + 1, Vote: n.Self})
+	n.enterTerm(HardState{Term: n.state.Term + 1, Vote: n.Self})
 	n.role = Candidate
 	n.votes = make(map[ServerID]bool)
-	n.requestVotes(n.state.Term, RequestVote{Transfer: transfer}, n.reply)
+	n.requestVotes(n.state.Term, RequestVote{Transfer: transfer}, n.sendWhenDurable)
 }
 
-func (n *Node) broadcastNow(to ServerID, term Term, message Message) {
+func (n *Node) sendNow(to ServerID, term Term, message Message) {
 	n.emit(Send{Envelope{From: n.Self, To: to, Term: term, Message: message}})
 }
 
@@ -48,7 +48,7 @@
 }
 
 // becomeTerm enters a new term as a follower without a leader.
-func (n *Node) becomeTerm(state HardState) {
+func (n *Node) enterTerm(state HardState) {
 	n.stepDown(ServerID{})
 	n.state = state
 	n.verified, n.acknowledged, n.round = 0, 0, 0
@@ -68,12 +68,12 @@
 }
 
 // bound reports whether a leader may rely on this server not to vote for another.
-func (n *Node) bound() bool {
-	return n.role == Leader || n.now.Before(n.heard.Add(n.Settings.ElectionTimeout))
+func (n *Node) boundToLeader() bool {
+	return n.role == Leader || n.now.Before(n.leaderContact.Add(n.Settings.ElectionTimeout))
 }
 
 func (n *Node) receiveRequestVote(from ServerID, term Term, request RequestVote) {
-	if n.bound() && !request.Transfer {
+	if n.boundToLeader() && !request.Transfer {
 		return
 	}
 	if request.PreVote {
@@ -81,7 +81,7 @@
 		if !granted {
 			term = n.state.Term
 		}
-		n.reply(from, term, VoteReply{PreVote: true, Granted: granted})
+		n.sendWhenDurable(from, term, VoteReply{PreVote: true, Granted: granted})
 		return
 	}
 	vote := n.state.Vote
@@ -95,18 +95,18 @@
 	}
 	switch {
 	case term > n.state.Term:
-		n.becomeTerm(HardState{Term: term, Vote: vote})
+		n.enterTerm(HardState{Term: term, Vote: vote})
 	case term == n.state.Term && vote != n.state.Vote:
 		n.state.Vote = vote
 		n.persist()
 	}
-	n.reply(from, n.state.Term, VoteReply{Granted: granted})
+	n.sendWhenDurable(from, n.state.Term, VoteReply{Granted: granted})
 }
 
 // upToDate reports whether the candidate's log contains every entry that this one may have helped to commit.
 func (n *Node) upToDate(request RequestVote) bool {
-	last := n.log.lastTerm()
-	return request.LastTerm > last || request.LastTerm == last && request.LastIndex >= n.log.last()
+	lastTerm := n.log.lastTerm()
+	return request.LastTerm > lastTerm || request.LastTerm == lastTerm && request.LastIndex >= n.log.last()
 }
 
 func (n *Node) receiveVoteReply(from ServerID, term Term, reply VoteReply) {
@@ -129,7 +129,7 @@
 	switch {
 	case granted <= len(voters)/2:
 	case n.role == PreCandidate:
-		n.elect(false)
+		n.startElection(false)
 	case n.role == Candidate:
 		n.becomeLeader()
 	}
--- a/state/replicator/entrylog.go
+++ b/state/replicator/entrylog.go
@@ -66,10 +66,10 @@
 
 // agreement returns the greatest index up to index whose term is at most term: what follows it cannot
 // agree with a log that has term at index.
-func (l *entryLog) agreement(index Index, term Term) Index {
+func (l *entryLog) lastPossibleMatch(index Index, term Term) Index {
 	index = min(index, l.last())
 	for index > l.base {
-		if own, _ := l.term(index); own <= term {
+		if ownTerm, _ := l.term(index); ownTerm <= term {
 			break
 		}
 		index--
--- a/state/replicator/fault_test.go
+++ b/state/replicator/fault_test.go
@@ -11,15 +11,15 @@
 func startCluster(t *testing.T, voters int) (*cluster, *host) {
 	t.Helper()
 	c := newCluster(voters, 1, testSettings())
-	assertRuns(t, c, func() bool { return c.leading() != nil })
+	assertReached(t, c, func() bool { return c.leading() != nil })
 	assertCommits(t, c, 1)
 	return c, c.leading()
 }
 
 // assertRuns fails the test unless done comes true within 10 s of the cluster's time.
-func assertRuns(t *testing.T, c *cluster, done func() bool) {
+func assertReached(t *testing.T, c *cluster, done func() bool) {
 	t.Helper()
-	reached := c.run(10*time.Second, done)
+	reached := c.runWithoutFaults(10*time.Second, done)
 	must.NoError(t, c.err)
 	must.True(t, reached)
 }
@@ -32,25 +32,25 @@
 		must.NotNil(t, leader)
 		c.propose(leader)
 		last := leader.node.log.last()
-		assertRuns(t, c, func() bool { return leader.applied >= last && leader.node.synced == leader.node.log.last() })
+		assertReached(t, c, func() bool { return leader.applied >= last && leader.node.synced == leader.node.log.last() })
 	}
 }
 
 // assertEqual fails the test unless all members apply the leader's whole log.
-func assertEqual(t *testing.T, c *cluster) {
+func assertAllApplied(t *testing.T, c *cluster) {
 	t.Helper()
 	s := &schedule{cluster: c}
-	assertRuns(t, c, func() bool { leader := c.leading(); return leader != nil && s.equal(leader) })
+	assertReached(t, c, func() bool { leader := c.leading(); return leader != nil && s.allApplied(leader) })
 }
 
 func assertVoters(t *testing.T, c *cluster, want ...*host) {
 	t.Helper()
-	assertRuns(t, c, func() bool {
+	assertReached(t, c, func() bool {
 		leader := c.leading()
-		return leader != nil && !leader.node.changing() && len(leader.node.members.current().voters) == len(want)
+		return leader != nil && !leader.node.changePending() && len(leader.node.members.current().voters) == len(want)
 	})
 	for _, h := range want {
-		must.True(t, c.leading().node.members.current().votes(h.id))
+		must.True(t, c.leading().node.members.current().isVoter(h.id))
 	}
 }
 
@@ -70,14 +70,14 @@
 	c.isolate(old)
 	// A proposal that the isolated leader still takes must never be applied.
 	c.propose(old)
-	assertRuns(t, c, func() bool { return !old.node.Leading(old.clock(c.now)) })
+	assertReached(t, c, func() bool { return !old.node.Leading(old.clock(c.now)) })
 	for _, other := range others(c, old) {
 		must.NotEq(t, Leader, other.node.Role())
 	}
-	assertRuns(t, c, func() bool { return c.leading() != nil && c.leading() != old })
+	assertReached(t, c, func() bool { return c.leading() != nil && c.leading() != old })
 	assertCommits(t, c, 3)
 	c.heal()
-	assertEqual(t, c)
+	assertAllApplied(t, c)
 	must.Eq(t, c.leading().id, old.node.Leader())
 }
 
@@ -88,16 +88,16 @@
 			c, leader := startCluster(t, 3)
 			lost := others(c, leader)[0]
 			c.crash(lost, 0)
-			lost.lost = true
+			lost.diskLost = true
 			assertCommits(t, c, 20)
 			added := c.addHost(lost.id.Name)
 			c.step(leader, AddServer{Server: Server{ID: added.id, Replaces: lost.id}})
 			survivors := []*host{leader, others(c, leader)[1], added}
 			assertVoters(t, c, survivors...)
-			committed := len(c.rules.history)
+			committed := len(c.invariants.history)
 			c.crash(survivors[second], 0)
-			survivors[second].lost = true
-			assertRuns(t, c, func() bool { return c.leading() != nil && c.leading() != survivors[second] })
+			survivors[second].diskLost = true
+			assertReached(t, c, func() bool { return c.leading() != nil && c.leading() != survivors[second] })
 			must.GreaterEq(t, Index(committed-1), c.leading().applied)
 			assertCommits(t, c, 3)
 		})
@@ -112,9 +112,9 @@
 	assertCommits(t, c, 2)
 	c.crash(leader, 0)
 	c.crash(lost, 0)
-	lost.lost = true
+	lost.diskLost = true
 	returned := c.addHost(lost.id.Name)
-	c.start(behind)
+	c.startHost(behind)
 	request := RequestVote{LastIndex: behind.node.log.last(), LastTerm: behind.node.log.lastTerm()}
 	t.Run("it ignores messages to its former identity", func(t *testing.T) {
 		c.now = c.now.Add(time.Minute)
@@ -123,8 +123,8 @@
 	})
 	t.Run("its vote does not count", func(t *testing.T) {
 		c.advance(0)
-		behind.node.elect(false)
-		c.perform(behind, behind.node.settle())
+		behind.node.startElection(false)
+		c.perform(behind, behind.node.finishStep())
 		c.sync(behind, len(behind.disk.queue))
 		must.Eq(t, Candidate, behind.node.Role())
 		envelope := Envelope{From: returned.id, To: behind.id, Term: behind.node.Term(), Message: VoteReply{Granted: true}}
@@ -132,15 +132,15 @@
 		must.Eq(t, Candidate, behind.node.Role())
 	})
 	t.Run("no leader without a majority of known disks", func(t *testing.T) {
-		must.False(t, c.run(20*time.Second, func() bool { return c.leading() != nil }))
+		must.False(t, c.runWithoutFaults(20*time.Second, func() bool { return c.leading() != nil }))
 		must.NoError(t, c.err)
 	})
 	t.Run("it rejoins as a learner", func(t *testing.T) {
-		c.start(leader)
-		assertRuns(t, c, func() bool { return c.leading() != nil })
+		c.startHost(leader)
+		assertReached(t, c, func() bool { return c.leading() != nil })
 		c.step(c.leading(), AddServer{Server: Server{ID: returned.id, Replaces: lost.id}})
 		assertVoters(t, c, leader, behind, returned)
-		assertEqual(t, c)
+		assertAllApplied(t, c)
 	})
 }
 
@@ -151,8 +151,8 @@
 	c.crash(behind, 0)
 	assertCommits(t, c, 400)
 	at := behind.disk.last()
-	c.start(behind)
-	assertEqual(t, c)
+	c.startHost(behind)
+	assertAllApplied(t, c)
 	must.Greater(t, at+300, behind.applied)
 	must.Greater(t, at, behind.disk.snapshot.Index)
 	must.Greater(t, behind.disk.snapshot.Index, behind.disk.last())
@@ -164,7 +164,7 @@
 	before := c.now
 	c.step(leader, Transfer{})
 	must.Eq(t, Follower, leader.node.Role())
-	assertRuns(t, c, func() bool { return c.leading() != nil })
+	assertReached(t, c, func() bool { return c.leading() != nil })
 	must.NotEq(t, leader.id, c.leading().id)
 	must.Eq(t, before, c.now)
 }
@@ -175,7 +175,7 @@
 	c.propose(old)
 	for end := c.now.Add(2 * time.Second); c.now.Before(end); c.advance(50 * time.Millisecond) {
 		for n := len(c.packets); n > 0; n-- {
-			c.deliver(c.take(0))
+			c.deliver(c.removePacket(0))
 		}
 		for _, other := range others(c, old) {
 			c.sync(other, len(other.disk.queue))
@@ -185,7 +185,7 @@
 	must.NotNil(t, c.leading())
 	must.NotEq(t, old.id, c.leading().id)
 	assertCommits(t, c, 1)
-	assertEqual(t, c)
+	assertAllApplied(t, c)
 }
 
 // Guards against one disk write and one message for each proposal.
@@ -199,13 +199,13 @@
 	c.sync(leader, 1)
 	must.SliceLen(t, 1, leader.disk.queue)
 	must.SliceLen(t, 10, leader.disk.queue[0].(Append).Entries)
-	assertEqual(t, c)
+	assertAllApplied(t, c)
 }
 
 // Guards against idle clusters that send more than a heartbeat and its answer to each follower.
 func TestIdleTraffic(t *testing.T) {
 	c, leader := startCluster(t, 3)
-	assertEqual(t, c)
+	assertAllApplied(t, c)
 	sent := 0
 	for end := leader.clock(c.now).Add(time.Second); leader.clock(c.now).Before(end); c.advance(time.Second) {
 		sent += len(c.packets)
--- a/state/replicator/rules_test.go
+++ b/state/replicator/invariants_test.go
@@ -8,72 +8,72 @@
 )
 
 // position is one entry of some server's log.
-type position struct {
+type entryKey struct {
 	index Index
 	term  Term
 }
 
 // content is what a position must hold in every log that has it.
-type content struct {
+type entryContent struct {
 	before Term
 	kind   EntryKind
 	value  uint64
 }
 
 // rules holds what the checks remember of a run. The names of the rules appear in the errors.
-type rules struct {
-	leaders map[Term]ServerID
-	logged  map[position]content
-	history []Term   // of each committed entry
-	digests []uint64 // of the state after each applied entry
+type invariants struct {
+	leaders     map[Term]ServerID
+	entriesSeen map[entryKey]entryContent
+	history     []Term   // of each committed entry
+	digests     []uint64 // of the state after each applied entry
 }
 
-func newRules() *rules {
-	return &rules{leaders: make(map[Term]ServerID), logged: make(map[position]content), history: []Term{0}, digests: []uint64{0}}
+func newInvariants() *invariants {
+	return &invariants{leaders: make(map[Term]ServerID), entriesSeen: make(map[entryKey]entryContent), history: []Term{0}, digests: []uint64{0}}
 }
 
 // observe checks one server after a step that returned actions.
-func (r *rules) observe(h *host, hosts []*host, now time.Time, actions []Action) error {
+func (r *invariants) checkStep(h *host, hosts []*host, now time.Time, actions []Action) error {
 	for _, action := range actions {
 		if appended, ok := action.(Append); ok {
-			if err := r.matches(h, appended.Entries); err != nil {
+			if err := r.checkLogMatching(h, appended.Entries); err != nil {
 				return err
 			}
 		}
-		if err := r.bounded(h, action); err != nil {
+		if err := r.checkMessageSize(h, action); err != nil {
 			return err
 		}
 	}
 	if h.node.role == Leader {
-		if err := r.elected(h); err != nil {
+		if err := r.checkElection(h); err != nil {
 			return err
 		}
 	}
-	if err := r.committed(h, hosts); err != nil {
+	if err := r.checkCommit(h, hosts); err != nil {
 		return err
 	}
-	if err := r.promoted(h, hosts); err != nil {
+	if err := r.checkPromotion(h, hosts); err != nil {
 		return err
 	}
-	h.led, h.voters = h.node.role == Leader, h.node.members.current().voters
-	return r.leases(hosts, now)
+	h.wasLeader, h.voters = h.node.role == Leader, h.node.members.current().voters
+	return r.checkLeases(hosts, now)
 }
 
 // matches: an entry with the same index and term is the same in all logs, and so is the one before it.
-func (r *rules) matches(h *host, entries []Entry) error {
+func (r *invariants) checkLogMatching(h *host, entries []Entry) error {
 	before, _ := h.node.log.term(entries[0].Index - 1)
 	for _, entry := range entries {
-		key, got := position{entry.Index, entry.Term}, content{before, entry.Kind, value(entry)}
-		if first, known := r.logged[key]; known && first != got {
+		key, got := entryKey{entry.Index, entry.Term}, entryContent{before, entry.Kind, value(entry)}
+		if first, known := r.entriesSeen[key]; known && first != got {
 			return fmt.Errorf("log matching: %v holds %+v at %+v, another log holds %+v", h.id, got, key, first)
 		}
-		r.logged[key], before = got, entry.Term
+		r.entriesSeen[key], before = got, entry.Term
 	}
 	return nil
 }
 
 // bounded: one message holds at most MaxAppend bytes of entries, unless it is a single entry.
-func (r *rules) bounded(h *host, action Action) error {
+func (r *invariants) checkMessageSize(h *host, action Action) error {
 	send, _ := action.(Send)
 	message, _ := send.Envelope.Message.(AppendEntries)
 	size := 0
@@ -87,7 +87,7 @@
 }
 
 // elected: a term has one leader, whose log contains every committed entry.
-func (r *rules) elected(h *host) error {
+func (r *invariants) checkElection(h *host) error {
 	term, log := h.node.state.Term, &h.node.log
 	if leader, known := r.leaders[term]; known {
 		if leader != h.id {
@@ -97,7 +97,7 @@
 	}
 	r.leaders[term] = h.id
 	for index := log.base; int(index) < len(r.history); index++ {
-		if own, held := log.term(index); !held || own != r.history[index] {
+		if ownTerm, found := log.term(index); !found || ownTerm != r.history[index] {
 			return fmt.Errorf("leader completeness: %v leads term %d without committed entry %d", h.id, term, index)
 		}
 	}
@@ -106,49 +106,49 @@
 
 // committed: a leader commits what a majority of voters holds on disk; nobody commits anything else. A leader
 // may commit and then give up the lead, or change the voters, within the same step.
-func (r *rules) committed(h *host, hosts []*host) error {
-	leads := h.led || h.node.role == Leader
-	for index := h.checked + 1; index <= h.node.commit; index++ {
-		term, held := h.node.log.term(index)
+func (r *invariants) checkCommit(h *host, hosts []*host) error {
+	leading := h.wasLeader || h.node.role == Leader
+	for index := h.checkedCommit + 1; index <= h.node.commit; index++ {
+		term, found := h.node.log.term(index)
 		known := int(index) < len(r.history)
 		switch {
-		case known && held && r.history[index] != term:
+		case known && found && r.history[index] != term:
 			return fmt.Errorf("committed entry lost: %v commits term %d at %d, before it was term %d", h.id, term, index, r.history[index])
-		case !known && !leads:
+		case !known && !leading:
 			return fmt.Errorf("commit: %v commits %d, which no leader committed", h.id, index)
 		case !known:
 			r.history = append(r.history, term)
 		}
 	}
-	if leads && h.node.commit > h.checked {
+	if leading && h.node.commit > h.checkedCommit {
 		before, after := h.voters, h.node.members.current().voters
-		if !r.durable(h, hosts, before) && !r.durable(h, hosts, after) {
+		if !r.onMajorityOfDisks(h, hosts, before) && !r.onMajorityOfDisks(h, hosts, after) {
 			return fmt.Errorf("durable majority: %v commits %d without synced copies on most of %v", h.id, h.node.commit, after)
 		}
 	}
-	h.checked = max(h.checked, h.node.commit)
+	h.checkedCommit = max(h.checkedCommit, h.node.commit)
 	return nil
 }
 
 // promoted: a leader makes only those servers voters that hold every committed entry.
-func (r *rules) promoted(h *host, hosts []*host) error {
-	if !h.led || h.node.role != Leader {
+func (r *invariants) checkPromotion(h *host, hosts []*host) error {
+	if !h.wasLeader || h.node.role != Leader {
 		return nil
 	}
 	for _, other := range hosts {
-		added := h.node.members.current().votes(other.id) && !slices.Contains(h.voters, other.id)
-		if added && !other.disk.holds(h.node.commit, r.history[h.node.commit]) {
+		added := h.node.members.current().isVoter(other.id) && !slices.Contains(h.voters, other.id)
+		if added && !other.disk.isDurable(h.node.commit, r.history[h.node.commit]) {
 			return fmt.Errorf("promotion: %v makes %v a voter, which lacks committed entry %d", h.id, other.id, h.node.commit)
 		}
 	}
 	return nil
 }
 
-func (r *rules) durable(h *host, hosts []*host, voters []ServerID) bool {
+func (r *invariants) onMajorityOfDisks(h *host, hosts []*host, voters []ServerID) bool {
 	term, _ := h.node.log.term(h.node.commit)
 	copies := 0
 	for _, other := range hosts {
-		if slices.Contains(voters, other.id) && other.disk.holds(h.node.commit, term) {
+		if slices.Contains(voters, other.id) && other.disk.isDurable(h.node.commit, term) {
 			copies++
 		}
 	}
@@ -156,7 +156,7 @@
 }
 
 // leases: while a server may answer as leader, no other may, and none leads a later term.
-func (r *rules) leases(hosts []*host, now time.Time) error {
+func (r *invariants) checkLeases(hosts []*host, now time.Time) error {
 	for _, h := range hosts {
 		if !h.up || !h.node.Leading(h.clock(now)) {
 			continue
@@ -172,7 +172,7 @@
 }
 
 // apply: every server applies the same sequence, without gaps, and only what is committed.
-func (r *rules) apply(h *host, entries []Entry) error {
+func (r *invariants) applyEntries(h *host, entries []Entry) error {
 	for _, entry := range entries {
 		if entry.Index != h.applied+1 || int(entry.Index) >= len(r.history) {
 			return fmt.Errorf("applied sequence: %v applies %d after %d, committed %d", h.id, entry.Index, h.applied, len(r.history)-1)
@@ -182,7 +182,7 @@
 		if int(h.applied) == len(r.digests) {
 			r.digests = append(r.digests, h.digest)
 		}
-		if err := r.restored(h); err != nil {
+		if err := r.checkState(h); err != nil {
 			return err
 		}
 	}
@@ -190,7 +190,7 @@
 }
 
 // restored: the state of a server equals that of the others at the same index.
-func (r *rules) restored(h *host) error {
+func (r *invariants) checkState(h *host) error {
 	if int(h.applied) >= len(r.digests) || r.digests[h.applied] != h.digest {
 		return fmt.Errorf("applied sequence: the state of %v at %d differs from the first one", h.id, h.applied)
 	}
--- a/state/replicator/lead.go
+++ b/state/replicator/lead.go
@@ -8,7 +8,7 @@
 // becomeLeader appends a blank entry: entries of earlier terms are committed only together with one of this term.
 func (n *Node) becomeLeader() {
 	n.role, n.leader, n.votes = Leader, n.Self, nil
-	n.lead = &leadership{since: n.now, first: n.log.last() + 1}
+	n.lead = &leadership{since: n.now, firstIndex: n.log.last() + 1}
 	n.lead.rounds.begin(n.now, n.now)
 	n.lead.heartbeatAt = n.now.Add(n.Settings.Heartbeat)
 	n.lead.setServers(n.members.current().servers, n.Self, n.log.last()+1)
@@ -16,16 +16,16 @@
 }
 
 // ready reports whether this server leads and has applied an entry of its term, and with it all earlier ones.
-func (n *Node) ready() bool { return n.role == Leader && n.applied >= n.lead.first }
+func (n *Node) ready() bool { return n.role == Leader && n.applied >= n.lead.firstIndex }
 
 // contact returns the start of the newest round that a majority acknowledged.
-func (n *Node) contact(now time.Time) time.Time {
+func (n *Node) quorumContact(now time.Time) time.Time {
 	var times []time.Time
 	for _, id := range n.members.current().voters {
 		if id == n.Self {
 			times = append(times, now)
 		} else if peer := n.lead.peer(id); peer != nil {
-			times = append(times, peer.acked)
+			times = append(times, peer.ackedRoundStart)
 		}
 	}
 	return majority(times, time.Time.Compare)
@@ -33,11 +33,11 @@
 
 // leaseEnd is measured from when the acknowledged messages were sent. Each server that acknowledged one
 // votes for nobody else for an election timeout from its arrival, which is longer and begins later.
-func (n *Node) leaseEnd(now time.Time) time.Time { return n.contact(now).Add(n.Settings.Lease) }
+func (n *Node) leaseEnd(now time.Time) time.Time { return n.quorumContact(now).Add(n.Settings.Lease) }
 
 // quorumEnd is when a leader that hears from no majority gives up.
-func (n *Node) quorumEnd() time.Time {
-	contact := n.contact(n.now)
+func (n *Node) quorumDeadline() time.Time {
+	contact := n.quorumContact(n.now)
 	if contact.Before(n.lead.since) {
 		contact = n.lead.since
 	}
@@ -46,7 +46,7 @@
 
 func (n *Node) nextLeader() time.Time {
 	next := n.lead.heartbeatAt
-	for _, deadline := range []time.Time{n.quorumEnd(), n.lead.transferEnd} {
+	for _, deadline := range []time.Time{n.quorumDeadline(), n.lead.transferDeadline} {
 		if !deadline.IsZero() && deadline.Before(next) {
 			next = deadline
 		}
@@ -55,18 +55,18 @@
 }
 
 func (n *Node) expireLeader() {
-	if !n.quorumEnd().After(n.now) {
+	if !n.quorumDeadline().After(n.now) {
 		n.stepDown(ServerID{})
 		return
 	}
-	if end := n.lead.transferEnd; !end.IsZero() && !end.After(n.now) {
-		n.lead.transferEnd = time.Time{}
+	if deadline := n.lead.transferDeadline; !deadline.IsZero() && !deadline.After(n.now) {
+		n.lead.transferDeadline = time.Time{}
 	}
 	if n.lead.heartbeatAt.After(n.now) {
 		return
 	}
-	if target := n.best(); n.stalled() && !target.IsZero() {
-		n.handOver(target)
+	if target := n.bestSuccessor(); n.diskStalled() && !target.IsZero() {
+		n.transferLeadership(target)
 		return
 	}
 	n.lead.heartbeatAt = n.now.Add(n.Settings.Heartbeat)
@@ -78,8 +78,8 @@
 
 // stalled reports whether the disk holds back a write for longer than an election takes. Proposals wait for the own disk, so a
 // leader whose disk hangs would stop the cluster although it still sends heartbeats.
-func (n *Node) stalled() bool {
-	return len(n.writes) > 0 && !n.now.Before(n.writes[0].issued.Add(n.Settings.ElectionTimeout))
+func (n *Node) diskStalled() bool {
+	return len(n.writes) > 0 && !n.now.Before(n.writes[0].issuedAt.Add(n.Settings.ElectionTimeout))
 }
 
 // heartbeat sends an empty message. While streaming it names the last entry sent, so that the loss of that entry
@@ -87,11 +87,11 @@
 func (n *Node) heartbeat(peer *peer) {
 	peer.paused = false
 	prev := peer.next - 1
-	term, held := n.log.term(prev)
+	term, found := n.log.term(prev)
 	switch {
-	case peer.state == probing && held:
+	case peer.state == probing && found:
 		return // replicate sends a probe
-	case peer.state == snapshotting || !held:
+	case peer.state == snapshotting || !found:
 		prev, term = 0, 0
 	}
 	n.sendEntries(peer, prev, term, nil)
@@ -115,8 +115,8 @@
 	if peer.state == snapshotting || peer.state == probing && peer.paused {
 		return false
 	}
-	term, held := n.log.term(peer.next - 1)
-	if !held {
+	term, found := n.log.term(peer.next - 1)
+	if !found {
 		n.sendSnapshot(peer)
 		return false
 	}
@@ -137,7 +137,7 @@
 }
 
 func (n *Node) sendSnapshot(peer *peer) {
-	peer.state, peer.inflight, peer.snapshot = snapshotting, nil, n.snapshot.Index
+	peer.state, peer.inflight, peer.snapshotIndex = snapshotting, nil, n.snapshot.Index
 	message := InstallSnapshot{Round: n.lead.rounds.current(), Snapshot: n.snapshot}
 	envelope := Envelope{From: n.Self, To: peer.id, Term: n.state.Term, Message: message}
 	n.emit(SendSnapshot{Envelope: envelope, Snapshot: n.snapshot})
@@ -149,7 +149,7 @@
 		return
 	}
 	peer := n.lead.peer(event.To)
-	if peer == nil || peer.state != snapshotting || peer.snapshot != event.Index {
+	if peer == nil || peer.state != snapshotting || peer.snapshotIndex != event.Index {
 		return
 	}
 	if event.Failed {
@@ -165,18 +165,18 @@
 	if peer == nil || reply.Match > n.log.last() {
 		return
 	}
-	if sent := n.lead.rounds.sent(reply.Round); sent.After(peer.acked) {
-		peer.acked = sent
+	if start := n.lead.rounds.startOf(reply.Round); start.After(peer.ackedRoundStart) {
+		peer.ackedRoundStart = start
 	}
 	if !reply.Rejected {
 		peer.acknowledge(reply.Match)
 		return
 	}
 	peer.match = max(peer.match, reply.Match)
-	current := peer.state == streaming && reply.PrevIndex > peer.match ||
+	applicable := peer.state == streaming && reply.PrevIndex > peer.match ||
 		peer.state == probing && reply.PrevIndex == peer.next-1
-	if current {
-		peer.probe(n.log.agreement(reply.Hint, reply.HintTerm) + 1)
+	if applicable {
+		peer.probe(n.log.lastPossibleMatch(reply.Hint, reply.HintTerm) + 1)
 	}
 }
 
@@ -191,12 +191,12 @@
 		}
 	}
 	index := majority(matches, cmp.Compare[Index])
-	if term, held := n.log.term(index); index <= n.commit || !held || term != n.state.Term {
+	if term, found := n.log.term(index); index <= n.commit || !found || term != n.state.Term {
 		return
 	}
 	for _, entry := range n.log.slice(n.commit+1, index) {
-		n.lead.waiting -= len(entry.Data)
+		n.lead.uncommittedBytes -= len(entry.Data)
 	}
-	n.lead.waiting = max(n.lead.waiting, 0)
+	n.lead.uncommittedBytes = max(n.lead.uncommittedBytes, 0)
 	n.commit = index
 }
--- a/state/replicator/leadership.go
+++ b/state/replicator/leadership.go
@@ -7,15 +7,15 @@
 
 // leadership is what a server knows only while it leads.
 type leadership struct {
-	peers       []*peer // sorted by ID
-	rounds      rounds
-	since       time.Time
-	heartbeatAt time.Time
-	first       Index // the blank entry of the leader's term
-	pending     []proposal
-	waiting     int // bytes of pending and of uncommitted entries
-	target      ServerID
-	transferEnd time.Time // zero unless a transfer is under way
+	peers            []*peer // sorted by ID
+	rounds           rounds
+	since            time.Time
+	heartbeatAt      time.Time
+	firstIndex       Index // the blank entry of the leader's term
+	pending          []proposal
+	uncommittedBytes int // bytes of pending and of uncommitted entries
+	transferTarget   ServerID
+	transferDeadline time.Time // zero unless a transfer is under way
 }
 
 // peer returns what is known of id, or nil.
--- a/state/replicator/handover.go
+++ b/state/replicator/leadershiptransfer.go
@@ -1,12 +1,12 @@
 package replicator
 
 func (n *Node) startTransfer(event Transfer) {
-	reason, target := n.refusal(), event.To
+	reason, target := n.refusalReason(), event.To
 	if reason == "" {
 		if target.IsZero() {
-			target = n.best()
+			target = n.bestSuccessor()
 		}
-		if target == n.Self || !n.members.current().votes(target) {
+		if target == n.Self || !n.members.current().isVoter(target) {
 			reason = UnknownServer
 		}
 	}
@@ -14,14 +14,14 @@
 		n.refuse(event.Ticket, reason)
 		return
 	}
-	n.lead.target, n.lead.transferEnd = target, n.now.Add(n.Settings.ElectionTimeout)
+	n.lead.transferTarget, n.lead.transferDeadline = target, n.now.Add(n.Settings.ElectionTimeout)
 }
 
 // best returns the answering voter that holds most of the log, or zero when no other one answers.
-func (n *Node) best() ServerID {
+func (n *Node) bestSuccessor() ServerID {
 	var best *peer
 	for _, peer := range n.lead.peers {
-		if n.members.current().votes(peer.id) && n.answers(peer) && (best == nil || peer.match > best.match) {
+		if n.members.current().isVoter(peer.id) && n.responsive(peer) && (best == nil || peer.match > best.match) {
 			best = peer
 		}
 	}
@@ -32,17 +32,17 @@
 }
 
 func (n *Node) continueTransfer() {
-	if n.lead.transferEnd.IsZero() || len(n.lead.pending) > 0 {
+	if n.lead.transferDeadline.IsZero() || len(n.lead.pending) > 0 {
 		return
 	}
-	if peer := n.lead.peer(n.lead.target); peer != nil && peer.match == n.log.last() {
-		n.handOver(peer.id)
+	if peer := n.lead.peer(n.lead.transferTarget); peer != nil && peer.match == n.log.last() {
+		n.transferLeadership(peer.id)
 	}
 }
 
 // handOver gives up the lease for good before it tells the target to campaign: a delayed TimeoutNow must not
 // elect a second leader while this one answers.
-func (n *Node) handOver(target ServerID) {
+func (n *Node) transferLeadership(target ServerID) {
 	if !target.IsZero() {
 		n.send(target, TimeoutNow{})
 	}
--- a/state/replicator/logwrite.go
+++ b/state/replicator/logwrite.go
@@ -4,7 +4,7 @@
 
 // logWrite is a disk write under way, after which the stored log ends at last.
 type logWrite struct {
-	write  Write
-	last   Index
-	issued time.Time
+	write    Write
+	last     Index
+	issuedAt time.Time
 }
--- a/state/replicator/membership.go
+++ b/state/replicator/membership.go
@@ -30,7 +30,7 @@
 }
 
 // votes reports whether id is a voter.
-func (m membership) votes(id ServerID) bool { return slices.Contains(m.voters, id) }
+func (m membership) isVoter(id ServerID) bool { return slices.Contains(m.voters, id) }
 
 // with returns a list in which server replaces the one of the same identity or is added.
 func (m membership) with(server Server) []Server {
--- a/state/replicator/memberships.go
+++ b/state/replicator/memberships.go
@@ -17,7 +17,7 @@
 }
 
 // at returns the servers in force at index.
-func (m *memberships) at(index Index) []Server {
+func (m *memberships) serversAt(index Index) []Server {
 	for _, each := range slices.Backward(m.list) {
 		if each.index <= index {
 			return each.servers
@@ -28,9 +28,9 @@
 
 // voted reports whether id is a voter in the list in force or in one that may come back into force, because what replaced
 // it is not committed.
-func (m *memberships) voted(id ServerID, commit Index) bool {
+func (m *memberships) mayVote(id ServerID, commit Index) bool {
 	for _, each := range slices.Backward(m.list) {
-		if each.votes(id) {
+		if each.isVoter(id) {
 			return true
 		}
 		if each.index <= commit {
--- a/state/replicator/node.go
+++ b/state/replicator/node.go
@@ -13,30 +13,30 @@
 	Recovered Recovered
 	Random    *rand.Rand // spreads the election timeouts
 
-	now        time.Time
-	actions    []Action
-	started    bool
-	role       Role
-	state      HardState
-	leader     ServerID
-	log        entryLog
-	members    memberships
-	commit     Index
-	applied    Index
-	heard      time.Time // when a leader's last message arrived; within an election timeout of it no vote is given
-	electionAt time.Time
-	votes      map[ServerID]bool
-	lead       *leadership // nil unless leading
+	now           time.Time
+	actions       []Action
+	started       bool
+	role          Role
+	state         HardState
+	leader        ServerID
+	log           entryLog
+	members       memberships
+	commit        Index
+	applied       Index
+	leaderContact time.Time // when a leader's last message arrived; within an election timeout of it no vote is given
+	electionAt    time.Time
+	votes         map[ServerID]bool
+	lead          *leadership // nil unless leading
 
 	// Disk.
-	issued    Write // last number given to a disk action
-	durable   Write
-	persisted Write // the last Persist
-	writes    []logWrite
-	held      []heldSend
-	synced    Index
-	snapshot  Snapshot // the newest durable one
-	saving    Snapshot // Index is zero unless one is being saved
+	lastIssued  Write // last number given to a disk action
+	durable     Write
+	lastPersist Write // the last Persist
+	writes      []logWrite
+	deferred    []deferredSend
+	synced      Index
+	snapshot    Snapshot // the newest durable one
+	saving      Snapshot // Index is zero unless one is being saved
 
 	// Following, reset for each term.
 	verified     Index // the log equals the leader's up to here
@@ -44,9 +44,9 @@
 	round        uint64
 
 	// What the adapter was told.
-	toldLeading bool
-	toldLeader  ServerID
-	membersTold bool
+	announcedLeading bool
+	announcedLeader  ServerID
+	membersAnnounced bool
 }
 
 // Step handles one event at time now and returns the actions to perform, in order.
@@ -66,7 +66,7 @@
 	case Propose:
 		n.propose(event)
 	case Synced:
-		n.sync(event.Write)
+		n.markDurable(event.Write)
 	case SnapshotSaved:
 		n.snapshotSaved(event.Index)
 	case SnapshotSent:
@@ -78,7 +78,7 @@
 	case Transfer:
 		n.startTransfer(event)
 	}
-	return n.settle()
+	return n.finishStep()
 }
 
 // Expire handles every deadline that is due at now.
@@ -91,9 +91,9 @@
 	case n.role == Leader:
 		n.expireLeader()
 	case !n.electionAt.After(now):
-		n.campaign()
+		n.startPreVote()
 	}
-	return n.settle()
+	return n.finishStep()
 }
 
 // Next returns the earliest deadline, or the zero time when there is none.
@@ -129,9 +129,9 @@
 func (n *Node) Servers() []Server { return n.members.current().servers }
 
 // settle does what the handled event made possible and returns all actions.
-func (n *Node) settle() []Action {
+func (n *Node) finishStep() []Action {
 	if n.role == Leader {
-		n.flush()
+		n.appendProposals()
 		n.advanceCommit()
 	}
 	n.apply()
@@ -161,27 +161,27 @@
 
 // reply sends a message of the given term once the term and vote are durable: a promise that a crash can take
 // back would let two leaders count it.
-func (n *Node) reply(to ServerID, term Term, message Message) {
+func (n *Node) sendWhenDurable(to ServerID, term Term, message Message) {
 	envelope := Envelope{From: n.Self, To: to, Term: term, Message: message}
-	if n.persisted <= n.durable {
+	if n.lastPersist <= n.durable {
 		n.emit(Send{envelope})
 		return
 	}
-	n.held = append(n.held, heldSend{write: n.persisted, envelope: envelope})
+	n.deferred = append(n.deferred, deferredSend{write: n.lastPersist, envelope: envelope})
 }
 
 // announce tells the adapter about changes of leader and members.
 func (n *Node) announce() {
-	if !n.membersTold {
-		n.membersTold = true
+	if !n.membersAnnounced {
+		n.membersAnnounced = true
 		n.emit(MembershipChanged{Servers: n.members.current().servers})
 	}
 	leading := n.ready()
 	switch {
-	case leading && !n.toldLeading:
+	case leading && !n.announcedLeading:
 		n.emit(BecameLeader{Term: n.state.Term})
-	case !leading && (n.toldLeading || n.leader != n.toldLeader) && n.role != Leader:
+	case !leading && (n.announcedLeading || n.leader != n.announcedLeader) && n.role != Leader:
 		n.emit(BecameFollower{Term: n.state.Term, Leader: n.leader})
 	}
-	n.toldLeading, n.toldLeader = leading, n.leader
+	n.announcedLeading, n.announcedLeader = leading, n.leader
 }
--- a/state/replicator/peer.go
+++ b/state/replicator/peer.go
@@ -4,14 +4,14 @@
 
 // peer is what a leader knows of another server.
 type peer struct {
-	id       ServerID
-	state    peerState
-	match    Index     // synced there and equal to the leader's log
-	next     Index     // first entry to send
-	inflight []Index   // while streaming: the last index of each unacknowledged message
-	paused   bool      // while probing: a probe is under way
-	snapshot Index     // while snapshotting: what is being sent
-	acked    time.Time // start of the newest round that the peer acknowledged
+	id              ServerID
+	state           peerState
+	match           Index     // synced there and equal to the leader's log
+	next            Index     // first entry to send
+	inflight        []Index   // while streaming: the last index of each unacknowledged message
+	paused          bool      // while probing: a probe is under way
+	snapshotIndex   Index     // while snapshotting: what is being sent
+	ackedRoundStart time.Time // start of the newest round that the peer acknowledged
 }
 
 // probe goes back to one message at a time from next.
@@ -26,7 +26,7 @@
 		p.inflight = p.inflight[1:]
 	}
 	p.next = max(p.next, p.match+1)
-	if p.state == probing || p.state == snapshotting && p.match >= p.snapshot {
+	if p.state == probing || p.state == snapshotting && p.match >= p.snapshotIndex {
 		p.state, p.inflight = streaming, nil
 	}
 }
--- a/state/replicator/promise_test.go
+++ b/state/replicator/promise_test.go
@@ -27,7 +27,7 @@
 		c, leader := startCluster(t, 3)
 		follower := others(c, leader)[0]
 		c.crash(follower, 0)
-		c.start(follower)
+		c.startHost(follower)
 		assertVote(t, c, follower, RequestVote{}, false)
 		c.now = c.now.Add(2 * c.settings.ElectionTimeout)
 		assertVote(t, c, follower, RequestVote{}, true)
@@ -55,7 +55,7 @@
 	}
 	sent := leader.clock(c.now)
 	for n := len(c.packets); n > 0; n-- {
-		c.deliver(c.take(0))
+		c.deliver(c.removePacket(0))
 	}
 	answers := c.packets
 	c.now = c.now.Add(300 * time.Millisecond)
@@ -73,13 +73,13 @@
 	n, commit := leader.node, leader.node.commit
 	old := n.log.last() + 1
 	n.appendEntries([]Entry{{Index: old, Term: n.Term(), Kind: Data, Data: make([]byte, 8)}})
-	n.settle()
-	n.elect(false)
-	n.settle()
-	n.Step(leader.clock(c.now), Synced{Write: n.issued})
+	n.finishStep()
+	n.startElection(false)
+	n.finishStep()
+	n.Step(leader.clock(c.now), Synced{Write: n.lastIssued})
 	n.becomeLeader()
-	n.settle()
-	n.Step(leader.clock(c.now), Synced{Write: n.issued})
+	n.finishStep()
+	n.Step(leader.clock(c.now), Synced{Write: n.lastIssued})
 	reply := Envelope{From: others(c, leader)[0].id, To: leader.id, Term: n.Term(), Message: AppendReply{Match: old}}
 	n.Step(leader.clock(c.now), Received{Envelope: reply})
 	must.Eq(t, commit, n.commit)
@@ -97,7 +97,7 @@
 		entry := Entry{Index: index, Term: of, Kind: Blank}
 		n.Step(now, Received{Envelope{From: from, To: follower.id, Term: at,
 			Message: AppendEntries{PrevIndex: prev, PrevTerm: term, Entries: []Entry{entry}}}})
-		return n.issued
+		return n.lastIssued
 	}
 	first := deliver(leader.id, term+1, prev+1, term+1)
 	second := deliver(others(c, leader)[1].id, term+2, prev+1, term+2)
@@ -113,14 +113,14 @@
 	c, leader := startCluster(t, 4)
 	rest := others(c, leader)
 	c.crash(rest[0], 0)
-	rest[0].lost = true
+	rest[0].diskLost = true
 	for _, other := range rest[1:] {
 		c.blocked[[2]ServerID{leader.id, other.id}] = true
 	}
 	c.step(leader, RemoveServer{ID: leader.id})
-	must.True(t, leader.node.changing())
+	must.True(t, leader.node.changePending())
 	c.sync(leader, len(leader.disk.queue))
-	c.run(5*time.Second, func() bool { return leader.node.Role() != Leader })
+	c.runWithoutFaults(5*time.Second, func() bool { return leader.node.Role() != Leader })
 	c.heal()
 	assertVoters(t, c, rest...)
 	assertCommits(t, c, 1)
@@ -132,7 +132,7 @@
 	c, leader := startCluster(t, 3)
 	rest := others(c, leader)
 	c.crash(rest[0], 0)
-	c.run(time.Second, func() bool { return false })
+	c.runWithoutFaults(time.Second, func() bool { return false })
 	c.step(leader, RemoveServer{ID: rest[1].id})
 	must.Eq(t, []Refused{{Reason: NoMajority, Leader: leader.id}}, c.refused)
 	c.step(leader, RemoveServer{ID: rest[0].id})
--- a/state/replicator/receive.go
+++ b/state/replicator/receive.go
@@ -16,11 +16,11 @@
 		}
 		n.receiveVoteReply(from, term, message)
 	case AppendEntries:
-		if n.follow(from, term) {
+		if n.acceptLeader(from, term) {
 			n.receiveAppend(from, message)
 		}
 	case InstallSnapshot:
-		if n.follow(from, term) {
+		if n.acceptLeader(from, term) {
 			n.receiveSnapshot(from, message)
 		}
 	case AppendReply:
@@ -31,21 +31,21 @@
 	case TimeoutNow:
 		// The sender led this term and no longer does, so its lease does not stand in the way of a vote.
 		if term == n.state.Term && n.role != Leader && n.role != Candidate && n.mayCampaign() {
-			n.elect(true)
+			n.startElection(true)
 		}
 	}
 }
 
 func (n *Node) adoptTerm(term Term) {
 	if term > n.state.Term {
-		n.becomeTerm(HardState{Term: term})
+		n.enterTerm(HardState{Term: term})
 	}
 }
 
 // follow accepts from as the leader of term, or tells it of a newer term.
-func (n *Node) follow(from ServerID, term Term) bool {
+func (n *Node) acceptLeader(from ServerID, term Term) bool {
 	if term < n.state.Term {
-		n.reply(from, n.state.Term, AppendReply{Rejected: true})
+		n.sendWhenDurable(from, n.state.Term, AppendReply{Rejected: true})
 		return false
 	}
 	n.adoptTerm(term)
@@ -55,7 +55,7 @@
 	if n.role != Follower || n.leader != from {
 		n.stepDown(from)
 	}
-	n.heard = n.now
+	n.leaderContact = n.now
 	n.resetElection()
 	return true
 }
@@ -69,12 +69,12 @@
 		prev, entries = prev+Index(covered), entries[covered:]
 		prevTerm, _ = n.log.term(prev)
 	}
-	if own, held := n.log.term(prev); prev >= n.log.base && (!held || own != prevTerm) {
+	if ownTerm, found := n.log.term(prev); prev >= n.log.base && (!found || ownTerm != prevTerm) {
 		n.reject(from, message)
 		return
 	}
 	last := prev + Index(len(entries))
-	n.store(entries)
+	n.appendMissing(entries)
 	n.verified = max(n.verified, last)
 	n.commit = max(n.commit, min(message.Commit, n.verified))
 	if len(message.Entries) == 0 || n.synced >= last {
@@ -83,13 +83,13 @@
 }
 
 // store appends the entries that the log does not hold, and first removes what conflicts with them.
-func (n *Node) store(entries []Entry) {
+func (n *Node) appendMissing(entries []Entry) {
 	for i, entry := range entries {
-		own, held := n.log.term(entry.Index)
-		if held && own == entry.Term {
+		ownTerm, found := n.log.term(entry.Index)
+		if found && ownTerm == entry.Term {
 			continue
 		}
-		if held {
+		if found {
 			n.truncate(entry.Index)
 		}
 		n.appendEntries(entries[i:])
@@ -98,17 +98,17 @@
 }
 
 func (n *Node) reject(from ServerID, message AppendEntries) {
-	hint := n.log.agreement(message.PrevIndex-1, message.PrevTerm)
+	hint := n.log.lastPossibleMatch(message.PrevIndex-1, message.PrevTerm)
 	term, _ := n.log.term(hint)
-	n.reply(from, n.state.Term, AppendReply{Round: n.round, Match: min(n.synced, n.verified), Rejected: true,
+	n.sendWhenDurable(from, n.state.Term, AppendReply{Round: n.round, Match: min(n.synced, n.verified), Rejected: true,
 		PrevIndex: message.PrevIndex, Hint: hint, HintTerm: term})
 }
 
 func (n *Node) receiveSnapshot(from ServerID, message InstallSnapshot) {
 	n.round = max(n.round, message.Round)
 	snapshot := message.Snapshot
-	if term, held := n.log.term(snapshot.Index); snapshot.Index > n.commit {
-		if held && term == snapshot.Term {
+	if term, found := n.log.term(snapshot.Index); snapshot.Index > n.commit {
+		if found && term == snapshot.Term {
 			n.commit = snapshot.Index
 		} else {
 			n.restore(snapshot)
@@ -121,7 +121,7 @@
 // sendAck tells the leader what is both synced and equal to its log.
 func (n *Node) sendAck() {
 	n.acknowledged = min(n.synced, n.verified)
-	n.reply(n.leader, n.state.Term, AppendReply{Round: n.round, Match: n.acknowledged})
+	n.sendWhenDurable(n.leader, n.state.Term, AppendReply{Round: n.round, Match: n.acknowledged})
 }
 
 // acknowledge reports entries that became durable since the last report; one report covers all of a sync.
--- a/state/replicator/request.go
+++ b/state/replicator/request.go
@@ -1,13 +1,13 @@
 package replicator
 
 // refusal returns why the server takes no request now, or "".
-func (n *Node) refusal() Reason {
+func (n *Node) refusalReason() Reason {
 	switch {
 	case n.role != Leader:
 		return NotLeader
 	case !n.Leading(n.now):
 		return NotReady
-	case !n.lead.transferEnd.IsZero():
+	case !n.lead.transferDeadline.IsZero():
 		return Transferring
 	}
 	return ""
@@ -18,24 +18,24 @@
 }
 
 func (n *Node) propose(event Propose) {
-	reason := n.refusal()
+	reason := n.refusalReason()
 	switch {
 	case reason != "":
 	case len(event.Data) > n.Settings.MaxEntry:
 		reason = TooLarge
-	case n.lead.waiting+len(event.Data) > n.Settings.MaxPending:
+	case n.lead.uncommittedBytes+len(event.Data) > n.Settings.MaxPending:
 		reason = Full
 	}
 	if reason != "" {
 		n.refuse(event.Ticket, reason)
 		return
 	}
-	n.lead.waiting += len(event.Data)
+	n.lead.uncommittedBytes += len(event.Data)
 	n.lead.pending = append(n.lead.pending, proposal{ticket: event.Ticket, data: event.Data})
 }
 
 // flush appends all proposals that arrived while the previous append was being synced, so that many share one write.
-func (n *Node) flush() {
+func (n *Node) appendProposals() {
 	if len(n.lead.pending) == 0 || n.synced < n.log.last() {
 		return
 	}
--- a/state/replicator/rounds.go
+++ b/state/replicator/rounds.go
@@ -22,7 +22,7 @@
 func (r *rounds) current() uint64 { return r.first + uint64(len(r.times)) - 1 }
 
 // sent returns when a round began, or the zero time when it is forgotten or unknown.
-func (r *rounds) sent(round uint64) time.Time {
+func (r *rounds) startOf(round uint64) time.Time {
 	if round < r.first || round > r.current() {
 		return time.Time{}
 	}
--- a/state/replicator/schedule_test.go
+++ b/state/replicator/schedule_test.go
@@ -21,23 +21,23 @@
 		}
 	}()
 	s := &schedule{cluster: newCluster([]int{1, 3, 3, 3, 5}[pick(5)], uint64(pick(1<<30)), testSettings()), pick: pick}
-	for kind, usual := range [9]int{36, 18, 14, 8, 3, 5, 7, 4, 5} {
-		s.weights[kind] = 1 + usual*pick(4)/2
+	for kind, weight := range [9]int{36, 18, 14, 8, 3, 5, 7, 4, 5} {
+		s.weights[kind] = 1 + weight*pick(4)/2
 	}
-	s.run(5*time.Second, func() bool { return s.leading() != nil })
+	s.runWithoutFaults(5*time.Second, func() bool { return s.leading() != nil })
 	for range steps {
-		s.random()
+		s.takeRandomStep()
 		if s.err != nil {
 			return s.err
 		}
 	}
-	s.recover()
+	s.endFaults()
 	return s.err
 }
 
-func (s *schedule) random() {
+func (s *schedule) takeRandomStep() {
 	h := s.hosts[s.pick(len(s.hosts))]
-	switch s.kind() {
+	switch s.randomStepKind() {
 	case 0:
 		s.network(s.pick(12))
 	case 1:
@@ -55,14 +55,14 @@
 	case 6:
 		s.partition(h, s.pick(7))
 	case 7:
-		s.change(h, s.pick(6))
+		s.changeMembers(h, s.pick(6))
 	case 8:
-		s.run(time.Duration(50+s.pick(600))*time.Millisecond, func() bool { return false })
+		s.runWithoutFaults(time.Duration(50+s.pick(600))*time.Millisecond, func() bool { return false })
 	}
 }
 
 // kind picks the next kind of step by the weights of this schedule.
-func (s *schedule) kind() int {
+func (s *schedule) randomStepKind() int {
 	total := 0
 	for _, weight := range s.weights {
 		total += weight
@@ -83,17 +83,17 @@
 	}
 	switch i := s.pick(len(s.packets)); kind {
 	case 0:
-		if p := s.take(i); p.content != nil {
+		if p := s.removePacket(i); p.content != nil {
 			s.step(s.host(p.envelope.From), SnapshotSent{To: p.envelope.To, Failed: true,
 				Index: p.envelope.Message.(InstallSnapshot).Snapshot.Index})
 		}
 	case 1:
 		s.deliver(s.packets[i])
 	case 2:
-		s.deliver(s.take(i))
+		s.deliver(s.removePacket(i))
 	default:
 		for n := min(s.pick(8), len(s.packets)); n > 0; n-- {
-			s.deliver(s.take(0))
+			s.deliver(s.removePacket(0))
 		}
 	}
 }
@@ -110,7 +110,7 @@
 
 // restart crashes a server, starts a crashed one, or does both at once.
 func (s *schedule) restart(h *host) {
-	if h.lost {
+	if h.diskLost {
 		return
 	}
 	up := h.up
@@ -118,7 +118,7 @@
 		s.crash(h, s.pick(len(h.disk.queue)+1))
 	}
 	if !up || s.pick(2) == 0 {
-		s.start(h)
+		s.startHost(h)
 	}
 }
 
@@ -140,7 +140,7 @@
 	}
 }
 
-func (s *schedule) change(h *host, kind int) {
+func (s *schedule) changeMembers(h *host, kind int) {
 	leader := s.leading()
 	if leader == nil {
 		return
@@ -148,7 +148,7 @@
 	switch {
 	case kind < 2:
 		s.step(leader, Transfer{})
-	case kind == 2 && len(leader.node.Servers()) > 3 && (h.lost || s.lostVoter(leader) == nil):
+	case kind == 2 && len(leader.node.Servers()) > 3 && (h.diskLost || s.lostVoter(leader) == nil):
 		s.step(leader, RemoveServer{ID: h.id})
 	case kind == 3 && len(s.hosts) < 9:
 		s.step(leader, AddServer{Server: Server{ID: s.addHost("n").id}})
@@ -162,17 +162,17 @@
 // loseDisk destroys a disk if the members are settled and no other one is missing: more than that, no
 // replication with three copies survives.
 func (s *schedule) loseDisk(leader, h *host) {
-	if h.lost || len(s.hosts) >= 9 || leader.node.changing() || len(leader.node.members.current().voters) < 3 ||
+	if h.diskLost || len(s.hosts) >= 9 || leader.node.changePending() || len(leader.node.members.current().voters) < 3 ||
 		s.lostVoter(leader) != nil {
 		return
 	}
 	s.crash(h, 0)
-	h.lost = true
+	h.diskLost = true
 }
 
 func (s *schedule) lostVoter(leader *host) *host {
 	for _, server := range leader.node.Servers() {
-		if h := s.host(server.ID); h.lost {
+		if h := s.host(server.ID); h.diskLost {
 			return h
 		}
 	}
@@ -180,22 +180,22 @@
 }
 
 func (s *schedule) replaceLost(leader *host) {
-	if lost := s.lostVoter(leader); lost != nil && !leader.node.changing() && len(s.hosts) < 12 {
+	if lost := s.lostVoter(leader); lost != nil && !leader.node.changePending() && len(s.hosts) < 12 {
 		added := s.addHost(lost.id.Name)
 		s.step(leader, AddServer{Server: Server{ID: added.id, Replaces: lost.id}})
 	}
 }
 
 // recover ends all faults. A cluster whose majority survives then commits a new entry everywhere.
-func (s *schedule) recover() {
+func (s *schedule) endFaults() {
 	s.heal()
 	for _, h := range s.hosts {
-		if !h.up && !h.lost {
-			s.start(h)
+		if !h.up && !h.diskLost {
+			s.startHost(h)
 		}
 	}
 	before := s.proposed
-	done := s.run(30*time.Second, func() bool {
+	done := s.runWithoutFaults(30*time.Second, func() bool {
 		leader := s.leading()
 		if leader == nil {
 			return false
@@ -204,7 +204,7 @@
 			s.propose(leader)
 			return false
 		}
-		return s.equal(leader)
+		return s.allApplied(leader)
 	})
 	if !done && s.err == nil {
 		s.fail("progress: no new entry is applied everywhere within 30 s after the last fault")
@@ -212,9 +212,9 @@
 }
 
 // equal reports whether every member that has its disk applied the leader's whole log.
-func (s *schedule) equal(leader *host) bool {
+func (s *schedule) allApplied(leader *host) bool {
 	for _, server := range leader.node.Servers() {
-		if h := s.host(server.ID); !h.lost && (h.applied != leader.node.log.last() || h.digest != leader.digest) {
+		if h := s.host(server.ID); !h.diskLost && (h.applied != leader.node.log.last() || h.digest != leader.digest) {
 			return false
 		}
 	}
--- a/state/replicator/start.go
+++ b/state/replicator/start.go
@@ -7,7 +7,7 @@
 func (n *Node) start() {
 	n.started = true
 	n.state = n.Recovered.State
-	n.heard = n.now
+	n.leaderContact = n.now
 	n.resetElection()
 	n.snapshot = n.Recovered.Snapshot
 	n.commit, n.applied = n.snapshot.Index, n.snapshot.Index
@@ -18,9 +18,9 @@
 	n.recoverEntries()
 	n.Recovered = Recovered{}
 	n.synced = n.log.last()
-	if last := n.log.lastTerm(); last > n.state.Term {
+	if lastTerm := n.log.lastTerm(); lastTerm > n.state.Term {
 		// The log was stored and the term was not, so no vote in that term left this server.
-		n.state = HardState{Term: last}
+		n.state = HardState{Term: lastTerm}
 		n.persist()
 	}
 }
@@ -48,7 +48,7 @@
 	servers = slices.Clone(servers)
 	slices.SortFunc(servers, func(a, b Server) int { return a.ID.Compare(b.ID) })
 	// A crash may have left the term of an earlier Bootstrap without its entry; no leader has term 1.
-	if n.state.Term > 1 || n.log.last() > 0 || !newMembership(0, servers).votes(n.Self) {
+	if n.state.Term > 1 || n.log.last() > 0 || !newMembership(0, servers).isVoter(n.Self) {
 		return
 	}
 	n.state = HardState{Term: 1}
--- a/state/replicator/status.go
+++ b/state/replicator/status.go
@@ -13,7 +13,7 @@
 	}
 	peers := make([]PeerStatus, 0, len(n.lead.peers))
 	for _, each := range n.lead.peers {
-		status := PeerStatus{ID: each.id, Synced: each.match, LastContact: each.acked}
+		status := PeerStatus{ID: each.id, Synced: each.match, LastContact: each.ackedRoundStart}
 		if status.LastContact.Before(n.lead.since) {
 			status.LastContact = n.lead.since
 		}
