--- a/state/replicator/appendentries.go
+++ b/state/replicator/appendentries.go
@@ -2,7 +2,7 @@
 
 // AppendEntries replicates entries; without entries it is a heartbeat.
 type AppendEntries struct {
-	Round     uint64 // returned by the reply; tells the leader when the message it answers was sent
+	Round     uint64 // echoed in the reply, so that the leader knows when the acknowledged message was sent
 	PrevIndex Index
 	PrevTerm  Term
 	Commit    Index
--- a/state/replicator/appendreply.go
+++ b/state/replicator/appendreply.go
@@ -3,12 +3,13 @@
 // AppendReply answers AppendEntries and InstallSnapshot.
 type AppendReply struct {
 	Round    uint64
-	Match    Index // synced on the follower's disk and equal to the leader's log up to here
-	Rejected bool  // the follower has no entry at PrevIndex with PrevTerm
-	// PrevIndex is what was rejected. Up to Hint, of HintTerm, the follower's log may agree.
+	Match    Index // last entry that is synced on the follower's disk and equal to the leader's
+	Rejected bool  // the follower has no entry at PrevIndex with the term PrevTerm
+	// PrevIndex is copied from the rejected message.
 	PrevIndex Index
-	Hint      Index
-	HintTerm  Term
+	// Hint is the last index, HintTerm its term, at which the follower's log may still match the leader's.
+	Hint     Index
+	HintTerm Term
 }
 
 func (AppendReply) message() {}
--- a/state/replicator/apply.go
+++ b/state/replicator/apply.go
@@ -1,6 +1,6 @@
 package replicator
 
-// Apply hands over committed entries in order and without gaps; only those of kind Data concern the state.
+// Apply delivers committed entries in order and without gaps. Only entries of kind Data change the state.
 type Apply struct {
 	Entries []Entry
 }
--- a/state/replicator/becamefollower.go
+++ b/state/replicator/becamefollower.go
@@ -1,6 +1,6 @@
 package replicator
 
-// BecameFollower says that this server lost the lead, or that it learned of another leader or that there is none.
+// BecameFollower reports that this server lost the leadership, or that the leader it knows changed, possibly to none.
 type BecameFollower struct {
 	Term   Term
 	Leader ServerID // zero while unknown
--- a/state/replicator/becameleader.go
+++ b/state/replicator/becameleader.go
@@ -1,6 +1,6 @@
 package replicator
 
-// BecameLeader says that this server leads and has applied every entry committed before its term.
+// BecameLeader reports that this server leads and has applied every entry committed before its term.
 type BecameLeader struct {
 	Term Term
 }
--- a/state/replicator/change.go
+++ b/state/replicator/change.go
@@ -1,6 +1,6 @@
 package replicator
 
-// membersChanged follows a change of the list in force.
+// membersChanged schedules the MembershipChanged action and updates the leader's peers after the current list changed.
 func (n *Node) membersChanged() {
 	n.membersAnnounced = false
 	if n.lead != nil {
@@ -8,11 +8,11 @@
 	}
 }
 
-// changing reports whether the newest membership is not committed. Two lists that differ by one voter have a common server in
-// all their majorities; lists that are further apart need not.
+// changePending reports whether the newest membership is not committed yet. Only one change may be pending: any majorities
+// of two lists that differ by one voter share a server, while those of lists that differ more need not.
 func (n *Node) changePending() bool { return n.members.current().index > n.commit }
 
-// changeServers appends a new list and returns its index.
+// appendMembership appends an entry with a new server list and returns its index.
 func (n *Node) appendMembership(servers []Server) Index {
 	index := n.log.last() + 1
 	n.appendEntries([]Entry{{Index: index, Term: n.state.Term, Kind: Membership, Servers: servers}})
@@ -57,8 +57,8 @@
 	n.requestChange(event.Ticket, reason, current.without(event.ID))
 }
 
-// answering reports whether most voters of a list answered within the lease. A list without such a majority
-// could not be committed, nor replaced by another one.
+// majorityResponsive reports whether most voters of a list acknowledged a message within the lease. Without such a
+// majority the list could be neither committed nor replaced by another one.
 func (n *Node) majorityResponsive(list membership) bool {
 	voters, count := list.voters, 0
 	for _, id := range voters {
@@ -73,7 +73,8 @@
 	return peer != nil && n.now.Before(peer.ackedRoundStart.Add(n.Settings.Lease))
 }
 
-// continueChange takes the next step of additions under way, one committed list at a time.
+// continueChange takes the next step of pending additions: it promotes a learner or removes a replaced voter, one list at
+// a time. A leader that is no longer a voter transfers the leadership.
 func (n *Node) continueChange() {
 	if !n.ready() || n.changePending() {
 		return
@@ -96,7 +97,7 @@
 	}
 }
 
-// caughtUp reports whether a learner holds every committed entry and answers.
+// caughtUp reports whether a learner holds every committed entry and is responsive.
 func (n *Node) caughtUp(id ServerID) bool {
 	peer := n.lead.peer(id)
 	return n.responsive(peer) && peer.match >= n.commit
--- a/state/replicator/check.go
+++ b/state/replicator/check.go
@@ -2,7 +2,7 @@
 
 import "github.com/cockroachdb/errors"
 
-// Check returns an error that names the first field that is wrong and what was expected.
+// Check returns an error that names the first invalid field and the expected value.
 func (n *Node) Check() error {
 	switch {
 	case n.Self.Name == "" || n.Self.Disk == 0:
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// valid reports whether a message from a peer is well formed. The journal requires consecutive entries.
+// valid reports whether a message from a peer is well formed. Entries must be consecutive because the journal requires it.
 func (e Envelope) valid() bool {
 	switch message := e.Message.(type) {
 	case AppendEntries:
@@ -40,7 +40,7 @@
 	return e.Message != nil && !e.From.IsZero()
 }
 
-// consecutive reports whether indexes have no gap and terms do not decrease, up to the sender's term.
+// consecutive reports whether the indexes have no gap and the terms neither decrease nor exceed maxTerm, the sender's term.
 func (m AppendEntries) consecutive(maxTerm Term) bool {
 	index, term := m.PrevIndex, m.PrevTerm
 	for _, entry := range m.Entries {
--- a/state/replicator/compact.go
+++ b/state/replicator/compact.go
@@ -1,6 +1,6 @@
 package replicator
 
-// Compact allows the disk to delete the stored entries up to Through, inclusive. It needs no report.
+// Compact allows the disk to delete the stored entries up to and including Through. Its completion is not reported.
 type Compact struct {
 	Through Index
 }
--- a/state/replicator/deferredsend.go
+++ b/state/replicator/deferredsend.go
@@ -1,6 +1,6 @@
 package replicator
 
-// heldSend is a message that must not leave before a disk write is durable.
+// deferredSend is a message that must not be sent before a disk write is durable.
 type deferredSend struct {
 	write    Write
 	envelope Envelope
--- a/state/replicator/disk.go
+++ b/state/replicator/disk.go
@@ -23,7 +23,7 @@
 	n.emit(Append{Write: write, Entries: entries})
 }
 
-// truncate removes the entry at from and all later ones. Writes under way no longer count for them.
+// truncate removes the entry at from and all later ones. Pending writes no longer mark the removed entries as synced.
 func (n *Node) truncate(from Index) {
 	if from <= n.commit {
 		panic(errors.AssertionFailedf("log conflicts at index %d, committed up to %d", from, n.commit))
@@ -52,7 +52,7 @@
 	n.emit(Restore{Write: write, Snapshot: snapshot})
 }
 
-// sync notes that the disk actions up to write are durable, and releases what waited for them.
+// markDurable records that the disk actions up to write are durable, and sends the messages that waited for them.
 func (n *Node) markDurable(write Write) {
 	n.durable = max(n.durable, min(write, n.lastIssued))
 	for len(n.writes) > 0 && n.writes[0].write <= n.durable {
@@ -68,8 +68,8 @@
 	}
 }
 
-// apply hands over committed entries. A snapshot must not be ahead of the stored log, so once one is due,
-// nothing more is applied until the disk has caught up.
+// apply emits committed entries. A snapshot must not be ahead of the stored log, so once a snapshot is due, apply emits
+// only entries that are synced.
 func (n *Node) apply() {
 	limit := n.commit
 	if n.snapshotDue() {
--- a/state/replicator/doc.go
+++ b/state/replicator/doc.go
@@ -1,7 +1,7 @@
-// Package replicator is the consensus of the controllers: a replicated log as a pure state machine.
+// Package replicator implements the consensus of the controllers: a replicated log as a pure state machine.
 //
 // An adapter owns one Node, sets its exported fields from the data folder and the settings, calls
-// Check, and runs it as a looper.Machine. The first event is Started:
+// Check, and runs the node as a looper.Machine. The first event is Started:
 //
 //	node := &replicator.Node{Self: self, Settings: replicator.Defaults(), Recovered: recovered, Random: random}
 //	if err := node.Check(); err != nil { ... }
@@ -10,25 +10,25 @@
 //
 // Perform handles the actions in the order in which they are returned and never blocks:
 //
-//   - Persist, Truncate, Append, Restore and Compact go to the one disk goroutine, which handles them in order. Those
-//     that carry a Write are numbered without gaps. The goroutine may sync many at once; after each sync it
-//     sends Synced with the number of the last one that the sync covers. The node itself holds back
-//     whatever depends on a write, so Send never waits for the disk.
-//   - Send goes to the stream of the peer. Messages may be lost, delayed, doubled and reordered.
-//   - SendSnapshot streams the snapshot file to the peer on a goroutine of its own, and SnapshotSent reports
-//     the end. The receiver stores the file durably and only then delivers the InstallSnapshot as
-//     Received; Restore tells it to load that file, and a snapshot without a Restore is dropped.
-//     Until then the file is not the snapshot that Recovered reports. After a crash between the two halves of
-//     a Restore, the node returns it again when it starts.
-//   - Apply runs on the control goroutine: it applies committed entries to the state, and answers
-//     those of its own proposals that it finds by the index and term that Proposed reported.
-//   - SaveSnapshot encodes the state as it is at that moment and writes it off the control goroutine;
-//     SnapshotSaved reports that the file is durable.
-//   - BecameLeader says that every earlier entry is applied. Before it answers anything as leader, the
-//     adapter asks Leading(now). After BecameFollower the outcome of proposals that were
-//     reported as Proposed and not yet applied is unknown.
+//   - Persist, Truncate, Append, Restore and Compact go to the single disk goroutine, which handles them in order. The
+//     actions that carry a Write are numbered without gaps. The goroutine may sync many writes at once; after each
+//     sync it sends Synced with the number of the last write that the sync covers. The node defers messages that
+//     depend on a write, so Send never waits for the disk.
+//   - Send goes to the stream of the peer. Messages may be lost, delayed, duplicated and reordered.
+//   - SendSnapshot streams the snapshot file to the peer on a separate goroutine, and SnapshotSent reports the end.
+//     The receiver first stores the file durably and then delivers the InstallSnapshot as Received. Restore makes the
+//     receiver load the file; a received file without a Restore is discarded, and Recovered does not report it. Restore
+//     replaces the snapshot and then resets the log; if a crash interrupts it in between, the node emits Restore again
+//     at the next start.
+//   - Apply runs on the control goroutine: the adapter applies the committed entries to the state. It recognizes its own
+//     proposals by the index and term that Proposed reported, and answers them.
+//   - SaveSnapshot takes the state as it is at that moment and writes it outside the control goroutine; SnapshotSaved
+//     reports that the file is durable.
+//   - BecameLeader reports that every earlier entry is applied. The adapter calls Leading(now) before it answers any
+//     request as leader. After BecameFollower, the outcome of proposals that were reported as Proposed and not yet
+//     applied is unknown.
 //
-// A cluster begins with one Bootstrap on a server whose data folder is new; the others join with AddServer.
-// A data folder gets a random disk identity when it is created. A host that comes back with an empty disk is
-// therefore another server: it joins with AddServer and Replaces set to its former identity.
+// A cluster starts with one Bootstrap on a server whose data folder is new; the others join with AddServer.
+// A data folder gets a random disk identity when it is created. A host that returns with an empty disk is therefore
+// a different server: it joins with AddServer, with Replaces set to its former identity.
 package replicator
--- a/state/replicator/election.go
+++ b/state/replicator/election.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// resetElection puts the next campaign between one and two election timeouts away, so that two servers rarely
-// campaign together.
+// resetElection schedules the next election between one and two election timeouts from now. The random part makes it
+// unlikely that two servers campaign at the same time.
 func (n *Node) resetElection() {
 	timeout := n.Settings.ElectionTimeout
 	n.electionAt = n.now.Add(timeout + time.Duration(n.Random.Int64N(int64(timeout))))
 }
 
-// mayCampaign reports whether this server is a voter. One whose removal is not committed still campaigns: if its log is the
-// longest, the others can't elect anyone without its vote, which it refuses to shorter logs.
+// mayCampaign reports whether this server is a voter. A voter whose removal is not committed still campaigns: if its log is
+// the longest, it refuses its vote to all others, and they may be unable to elect a leader without that vote.
 func (n *Node) mayCampaign() bool { return n.members.mayVote(n.Self, n.commit) }
 
-// campaign begins with a pre-vote: a server that was cut off does not raise the term of the others.
+// startPreVote asks whether the voters would elect this server before it starts an election, so that a server that was
+// partitioned does not raise the term of the others.
 func (n *Node) startPreVote() {
 	n.resetElection()
 	if !n.mayCampaign() {
@@ -25,7 +26,8 @@
 	n.countVote(n.Self)
 }
 
-// elect campaigns in a new term. Requests and the own vote wait until term and vote are durable.
+// startElection campaigns in a new term. The vote requests are sent, and the server's vote for itself is counted, only
+// once the term and the vote are durable.
 func (n *Node) startElection(transfer bool) {
 	n.resetElection()
 	n.enterTerm(HardState{Term: n.state.Term + 1, Vote: n.Self})
@@ -34,6 +36,7 @@
 	n.requestVotes(n.state.Term, RequestVote{Transfer: transfer}, n.sendWhenDurable)
 }
 
+// sendNow sends a message of the given term without waiting for the disk.
 func (n *Node) sendNow(to ServerID, term Term, message Message) {
 	n.emit(Send{Envelope{From: n.Self, To: to, Term: term, Message: message}})
 }
@@ -47,7 +50,7 @@
 	}
 }
 
-// becomeTerm enters a new term as a follower without a leader.
+// enterTerm enters a new term as a follower that knows no leader.
 func (n *Node) enterTerm(state HardState) {
 	n.stepDown(ServerID{})
 	n.state = state
@@ -55,7 +58,7 @@
 	n.persist()
 }
 
-// stepDown ends any leadership or campaign within the term.
+// stepDown makes the server a follower of leader, which may be zero, and refuses the proposals that are not in the log.
 func (n *Node) stepDown(leader ServerID) {
 	if n.lead != nil {
 		for _, each := range n.lead.pending {
@@ -67,7 +70,7 @@
 	n.role, n.leader, n.votes = Follower, leader, nil
 }
 
-// bound reports whether a leader may rely on this server not to vote for another.
+// boundToLeader reports whether a leader's lease may rely on this server not voting for another candidate.
 func (n *Node) boundToLeader() bool {
 	return n.role == Leader || n.now.Before(n.leaderContact.Add(n.Settings.ElectionTimeout))
 }
@@ -103,7 +106,7 @@
 	n.sendWhenDurable(from, n.state.Term, VoteReply{Granted: granted})
 }
 
-// upToDate reports whether the candidate's log contains every entry that this one may have helped to commit.
+// upToDate reports whether the candidate's log contains every entry that this server may have helped to commit.
 func (n *Node) upToDate(request RequestVote) bool {
 	lastTerm := n.log.lastTerm()
 	return request.LastTerm > lastTerm || request.LastTerm == lastTerm && request.LastIndex >= n.log.last()
--- a/state/replicator/entry.go
+++ b/state/replicator/entry.go
@@ -1,16 +1,16 @@
 package replicator
 
-// Entry is one position of the log. It is immutable: the log, disk writes and messages share it.
+// Entry is an entry of the log. It is immutable because the log, disk writes and messages share it.
 type Entry struct {
 	Index   Index
 	Term    Term
 	Kind    EntryKind
-	Data    []byte   // opaque, for Data only
-	Servers []Server // sorted by ID, for Membership only
+	Data    []byte   // opaque; set for the kind Data only
+	Servers []Server // sorted by ID; set for the kind Membership only
 }
 
-// size is what the entry adds to a message, in bytes; it is an estimate that bounds messages.
+// size estimates how many bytes the entry adds to a message.
 func (e Entry) size() int { return len(e.Data) + 64*len(e.Servers) + entryOverhead }
 
-// entryOverhead is an upper bound of the encoded index, term and kind with their tags and lengths.
+// entryOverhead is the maximum size in bytes of the encoded index, term and kind with their tags and lengths.
 const entryOverhead = 32
--- a/state/replicator/entrylog.go
+++ b/state/replicator/entrylog.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// entryLog is the part of the log after base. Slices of it are shared with disk writes and messages, so an
-// element is never overwritten: truncation and compaction continue in a new array.
+// entryLog is the part of the log after base. Disk writes and messages share slices of it, so elements are never
+// overwritten: after a truncation or compaction, the log continues in a new array.
 type entryLog struct {
 	base     Index
 	baseTerm Term
@@ -19,7 +19,7 @@
 	return term
 }
 
-// term returns the term at index; false when the log does not hold it.
+// term returns the term of the entry at index, and false if the log does not contain it.
 func (l *entryLog) term(index Index) (Term, bool) {
 	switch {
 	case index == l.base:
@@ -30,13 +30,13 @@
 	return l.entries[index-l.base-1].Term, true
 }
 
-// slice returns the entries from from to to, inclusive; from is after base.
+// slice returns the entries between from and to, both inclusive; from is greater than base.
 func (l *entryLog) slice(from, to Index) []Entry {
 	low, high := from-l.base-1, to-l.base
 	return l.entries[low:high:high]
 }
 
-// batch returns the entries from from on that fit into size bytes, at least one if there is any.
+// batch returns the entries starting at from that fit into size bytes, but at least one if there is any.
 func (l *entryLog) batch(from Index, size int) []Entry {
 	to := from
 	for ; to <= l.last(); to++ {
@@ -48,24 +48,23 @@
 	return l.slice(from, to-1)
 }
 
-// append adds entries at the end.
 func (l *entryLog) append(entries ...Entry) { l.entries = append(l.entries, entries...) }
 
 // truncate removes the entry at from and all later ones.
 func (l *entryLog) truncate(from Index) { l.entries = slices.Clip(l.entries[:from-l.base-1]) }
 
-// compact removes the entries up to through, inclusive.
+// compact removes the entries up to and including through.
 func (l *entryLog) compact(through Index) {
 	term, _ := l.term(through)
 	l.entries = slices.Clone(l.entries[through-l.base:])
 	l.base, l.baseTerm = through, term
 }
 
-// reset empties the log after a snapshot.
+// reset empties the log and sets its base to the position of a snapshot.
 func (l *entryLog) reset(index Index, term Term) { *l = entryLog{base: index, baseTerm: term} }
 
-// agreement returns the greatest index up to index whose term is at most term: what follows it cannot
-// agree with a log that has term at index.
+// lastPossibleMatch returns the greatest index, at most index, whose entry has at most the given term. Entries after it
+// have a greater term and cannot match a log that has the given term at index.
 func (l *entryLog) lastPossibleMatch(index Index, term Term) Index {
 	index = min(index, l.last())
 	for index > l.base {
--- a/state/replicator/envelope.go
+++ b/state/replicator/envelope.go
@@ -1,10 +1,10 @@
 package replicator
 
-// Envelope is a message between two servers. A server ignores what is addressed to another identity, so
-// that a new disk does not answer for the lost one.
+// Envelope is a message between two servers. A server ignores envelopes addressed to another identity, so that a host
+// with a new disk does not answer for the server whose disk was lost.
 type Envelope struct {
 	From    ServerID
 	To      ServerID
-	Term    Term // of the sender; in a pre-vote, the term it would campaign for
+	Term    Term // the sender's term; in a pre-vote, the term in which it would campaign
 	Message Message
 }
--- a/state/replicator/hardstate.go
+++ b/state/replicator/hardstate.go
@@ -1,7 +1,7 @@
 package replicator
 
-// HardState is what a server must not forget about elections.
+// HardState is the election state that must survive a restart.
 type HardState struct {
 	Term Term
-	Vote ServerID // whom the server voted for in Term; zero when for nobody
+	Vote ServerID // the candidate that the server voted for in Term; zero if none
 }
--- a/state/replicator/installsnapshot.go
+++ b/state/replicator/installsnapshot.go
@@ -1,6 +1,6 @@
 package replicator
 
-// InstallSnapshot offers a snapshot whose content the receiver has stored durably.
+// InstallSnapshot announces a snapshot. The receiver's adapter has already stored its content durably.
 type InstallSnapshot struct {
 	Round    uint64
 	Snapshot Snapshot
--- a/state/replicator/lead.go
+++ b/state/replicator/lead.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// becomeLeader appends a blank entry: entries of earlier terms are committed only together with one of this term.
+// becomeLeader appends a blank entry, because entries of earlier terms are committed only together with one of this term.
 func (n *Node) becomeLeader() {
 	n.role, n.leader, n.votes = Leader, n.Self, nil
 	n.lead = &leadership{since: n.now, firstIndex: n.log.last() + 1}
@@ -15,10 +15,10 @@
 	n.appendEntries([]Entry{{Index: n.log.last() + 1, Term: n.state.Term, Kind: Blank}})
 }
 
-// ready reports whether this server leads and has applied an entry of its term, and with it all earlier ones.
+// ready reports whether this server leads and has applied the blank entry of its term, and thus all earlier entries.
 func (n *Node) ready() bool { return n.role == Leader && n.applied >= n.lead.firstIndex }
 
-// contact returns the start of the newest round that a majority acknowledged.
+// quorumContact returns the start of the newest round that a majority acknowledged.
 func (n *Node) quorumContact(now time.Time) time.Time {
 	var times []time.Time
 	for _, id := range n.members.current().voters {
@@ -31,11 +31,12 @@
 	return majority(times, time.Time.Compare)
 }
 
-// leaseEnd is measured from when the acknowledged messages were sent. Each server that acknowledged one
-// votes for nobody else for an election timeout from its arrival, which is longer and begins later.
+// leaseEnd returns when the lease ends, measured from when the acknowledged messages were sent. A server that acknowledged
+// a message votes for no other candidate for an election timeout after the message arrived. That period is longer than the
+// lease and starts later, so the lease ends first.
 func (n *Node) leaseEnd(now time.Time) time.Time { return n.quorumContact(now).Add(n.Settings.Lease) }
 
-// quorumEnd is when a leader that hears from no majority gives up.
+// quorumDeadline returns when the leader steps down unless a majority acknowledges another message.
 func (n *Node) quorumDeadline() time.Time {
 	contact := n.quorumContact(n.now)
 	if contact.Before(n.lead.since) {
@@ -76,21 +77,21 @@
 	}
 }
 
-// stalled reports whether the disk holds back a write for longer than an election takes. Proposals wait for the own disk, so a
-// leader whose disk hangs would stop the cluster although it still sends heartbeats.
+// diskStalled reports whether the oldest disk write has been pending for an election timeout or longer. Proposals wait for the
+// leader's own disk, so a leader with a hanging disk would stop the cluster although it still sends heartbeats.
 func (n *Node) diskStalled() bool {
 	return len(n.writes) > 0 && !n.now.Before(n.writes[0].issuedAt.Add(n.Settings.ElectionTimeout))
 }
 
-// heartbeat sends an empty message. While streaming it names the last entry sent, so that the loss of that entry
-// is noticed although nothing follows it.
+// heartbeat sends an AppendEntries without entries. To a streaming peer, the message names the last entry sent, so that
+// the peer detects the loss of that entry even if no other entry follows.
 func (n *Node) heartbeat(peer *peer) {
 	peer.paused = false
 	prev := peer.next - 1
 	term, found := n.log.term(prev)
 	switch {
 	case peer.state == probing && found:
-		return // replicate sends a probe
+		return // replicate sends a probe instead
 	case peer.state == snapshotting || !found:
 		prev, term = 0, 0
 	}
@@ -102,7 +103,7 @@
 		Commit: n.commit, Entries: entries})
 }
 
-// replicate sends each peer what it lacks, within the limits of messages in flight.
+// replicate sends each peer the entries that it lacks, within the limit of messages in flight.
 func (n *Node) replicate() {
 	for _, peer := range n.lead.peers {
 		for n.replicateTo(peer) {
@@ -110,7 +111,7 @@
 	}
 }
 
-// replicateTo sends one message and reports whether it sent one that more may follow.
+// replicateTo sends at most one message and reports whether another one may follow.
 func (n *Node) replicateTo(peer *peer) bool {
 	if peer.state == snapshotting || peer.state == probing && peer.paused {
 		return false
@@ -121,7 +122,7 @@
 		return false
 	}
 	if peer.state == probing {
-		// A probe is empty: it is repeated with every heartbeat for as long as the peer is away.
+		// A probe carries no entries because every heartbeat repeats it while the peer is unreachable.
 		peer.paused = true
 		n.sendEntries(peer, peer.next-1, term, nil)
 		return false
@@ -143,7 +144,7 @@
 	n.emit(SendSnapshot{Envelope: envelope, Snapshot: n.snapshot})
 }
 
-// snapshotSent continues after the snapshot. After a failure the peer waits for the next heartbeat.
+// snapshotSent resumes replication after the snapshot. After a failed transfer, probing starts with the next heartbeat.
 func (n *Node) snapshotSent(event SnapshotSent) {
 	if n.role != Leader {
 		return
@@ -180,7 +181,7 @@
 	}
 }
 
-// advanceCommit commits what a majority of voters holds on disk, this server's own copy included only once it is synced.
+// advanceCommit commits the entries that a majority of voters holds on disk. The leader's own copy counts only once synced.
 func (n *Node) advanceCommit() {
 	var matches []Index
 	for _, id := range n.members.current().voters {
--- a/state/replicator/leadership.go
+++ b/state/replicator/leadership.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// leadership is what a server knows only while it leads.
+// leadership is the state that a server keeps only while it leads.
 type leadership struct {
 	peers            []*peer // sorted by ID
 	rounds           rounds
-	since            time.Time
+	since            time.Time // start of the leadership
 	heartbeatAt      time.Time
-	firstIndex       Index // the blank entry of the leader's term
+	firstIndex       Index // index of the blank entry of the leader's term
 	pending          []proposal
-	uncommittedBytes int // bytes of pending and of uncommitted entries
+	uncommittedBytes int // size of the pending proposals and the uncommitted entries
 	transferTarget   ServerID
-	transferDeadline time.Time // zero unless a transfer is under way
+	transferDeadline time.Time // zero unless a transfer is in progress
 }
 
-// peer returns what is known of id, or nil.
+// peer returns the replication state of id, or nil.
 func (l *leadership) peer(id ServerID) *peer {
 	for _, each := range l.peers {
 		if each.id == id {
@@ -28,8 +28,9 @@
 	return nil
 }
 
-// setServers starts to replicate to new servers, from next on, and stops for those that are gone. A new peer is taken to
-// be up to date, which saves a round trip after most elections; otherwise its rejection starts the probing.
+// setServers adds a peer for each new server, with next as the first entry to send, and drops the peers that are no longer
+// listed. A new peer is assumed to be up to date, which saves a round trip after most elections; if it is not, its
+// rejection starts the probing.
 func (l *leadership) setServers(servers []Server, self ServerID, next Index) {
 	var peers []*peer
 	for _, server := range servers {
--- a/state/replicator/leadershiptransfer.go
+++ b/state/replicator/leadershiptransfer.go
@@ -17,7 +17,7 @@
 	n.lead.transferTarget, n.lead.transferDeadline = target, n.now.Add(n.Settings.ElectionTimeout)
 }
 
-// best returns the answering voter that holds most of the log, or zero when no other one answers.
+// bestSuccessor returns the responsive voter that holds most of the log, or zero if no other voter is responsive.
 func (n *Node) bestSuccessor() ServerID {
 	var best *peer
 	for _, peer := range n.lead.peers {
@@ -40,8 +40,8 @@
 	}
 }
 
-// handOver gives up the lease for good before it tells the target to campaign: a delayed TimeoutNow must not
-// elect a second leader while this one answers.
+// transferLeadership sends TimeoutNow to target, if there is one, and steps down in the same step. The lease ends permanently
+// before the message leaves, because a delayed TimeoutNow must not elect a second leader while this one still answers.
 func (n *Node) transferLeadership(target ServerID) {
 	if !target.IsZero() {
 		n.send(target, TimeoutNow{})
--- a/state/replicator/logwrite.go
+++ b/state/replicator/logwrite.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// logWrite is a disk write under way, after which the stored log ends at last.
+// logWrite is a pending disk write, after which the stored log ends at last.
 type logWrite struct {
 	write    Write
 	last     Index
--- a/state/replicator/majority.go
+++ b/state/replicator/majority.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// majority returns the greatest value that more than half of values reach, and the zero value for no values. It sorts values.
+// majority returns the greatest value that more than half of the values reach or exceed, or zero if there are no values. It
+// sorts values in place.
 func majority[T any](values []T, compare func(a, b T) int) T {
 	if len(values) == 0 {
 		var zero T
--- a/state/replicator/membership.go
+++ b/state/replicator/membership.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// membership is a list of servers and the index of the entry that set it.
+// membership is a list of servers and the index of the log entry that contains it.
 type membership struct {
 	index   Index
 	servers []Server
-	voters  []ServerID // those of servers that count toward majorities
+	voters  []ServerID // the servers that count toward majorities
 }
 
 func newMembership(index Index, servers []Server) membership {
@@ -29,17 +29,16 @@
 	return Server{}, false
 }
 
-// votes reports whether id is a voter.
 func (m membership) isVoter(id ServerID) bool { return slices.Contains(m.voters, id) }
 
-// with returns a list in which server replaces the one of the same identity or is added.
+// with returns the list with server added, or with the server of the same identity replaced.
 func (m membership) with(server Server) []Server {
 	servers := append(m.without(server.ID), server)
 	slices.SortFunc(servers, func(a, b Server) int { return a.ID.Compare(b.ID) })
 	return servers
 }
 
-// without returns a list without id.
+// without returns the list without the server id.
 func (m membership) without(id ServerID) []Server {
 	return slices.DeleteFunc(slices.Clone(m.servers), func(each Server) bool { return each.ID == id })
 }
--- a/state/replicator/membershipchanged.go
+++ b/state/replicator/membershipchanged.go
@@ -1,7 +1,7 @@
 package replicator
 
-// MembershipChanged tells the adapter the list of servers in force, with their addresses. A peer that is not
-// listed is answered on the connection that its message came from.
+// MembershipChanged reports the current list of servers with their addresses. The adapter answers a peer that is not
+// listed on the connection that the peer's message came from.
 type MembershipChanged struct {
 	Servers []Server // sorted by ID
 }
--- a/state/replicator/node.go
+++ b/state/replicator/node.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Node is one server. It implements looper.Machine and is used by one goroutine. Exported fields are set
-// before the first event; Check verifies them.
+// Node is the state machine of one server. It implements looper.Machine and must be used by one goroutine only. The
+// exported fields are set before the first event; Check verifies them.
 type Node struct {
 	Self      ServerID
 	Settings  Settings
 	Recovered Recovered
-	Random    *rand.Rand // spreads the election timeouts
+	Random    *rand.Rand // randomizes the election timeouts
 
 	now           time.Time
 	actions       []Action
@@ -23,27 +23,27 @@
 	members       memberships
 	commit        Index
 	applied       Index
-	leaderContact time.Time // when a leader's last message arrived; within an election timeout of it no vote is given
+	leaderContact time.Time // arrival of a leader's last message; no vote is granted for an election timeout after it
 	electionAt    time.Time
 	votes         map[ServerID]bool
 	lead          *leadership // nil unless leading
 
-	// Disk.
-	lastIssued  Write // last number given to a disk action
-	durable     Write
-	lastPersist Write // the last Persist
+	// Progress of the disk.
+	lastIssued  Write // number of the last disk action
+	durable     Write // number of the last durable disk action
+	lastPersist Write // number of the last Persist
 	writes      []logWrite
 	deferred    []deferredSend
-	synced      Index
-	snapshot    Snapshot // the newest durable one
-	saving      Snapshot // Index is zero unless one is being saved
+	synced      Index    // last durable entry
+	snapshot    Snapshot // the newest durable snapshot
+	saving      Snapshot // the snapshot that is being saved; its Index is zero if there is none
 
-	// Following, reset for each term.
-	verified     Index // the log equals the leader's up to here
-	acknowledged Index // what the leader was told
-	round        uint64
+	// State of a follower, reset for each term.
+	verified     Index  // the log equals the leader's up to this entry
+	acknowledged Index  // the last Match that was sent to the leader
+	round        uint64 // the newest round received
 
-	// What the adapter was told.
+	// Last state that was reported to the adapter.
 	announcedLeading bool
 	announcedLeader  ServerID
 	membersAnnounced bool
@@ -109,11 +109,11 @@
 	return time.Time{}
 }
 
-// Leading reports whether this server may answer as leader at now: it leads, has applied every earlier entry, and
+// Leading reports whether this server may answer as leader at now: it leads, has applied every entry of earlier terms, and
 // a majority acknowledged it within the lease.
 func (n *Node) Leading(now time.Time) bool { return n.ready() && now.Before(n.leaseEnd(now)) }
 
-// Role returns what the server does in its term.
+// Role returns the server's role in the current term.
 func (n *Node) Role() Role { return n.role }
 
 // Term returns the current term.
@@ -122,13 +122,13 @@
 // Leader returns the leader of the term, or zero while it is unknown.
 func (n *Node) Leader() ServerID { return n.leader }
 
-// Applied returns the index of the last entry handed over for application.
+// Applied returns the index of the last entry that was emitted with Apply or covered by a snapshot.
 func (n *Node) Applied() Index { return n.applied }
 
-// Servers returns the servers in force, sorted by ID. The caller does not modify it.
+// Servers returns the current servers, sorted by ID. The result must not be modified.
 func (n *Node) Servers() []Server { return n.members.current().servers }
 
-// settle does what the handled event made possible and returns all actions.
+// finishStep does the work that the handled event made possible and returns all actions of the step.
 func (n *Node) finishStep() []Action {
 	if n.role == Leader {
 		n.appendProposals()
@@ -154,13 +154,13 @@
 
 func (n *Node) emit(action Action) { n.actions = append(n.actions, action) }
 
-// send sends a message at once.
+// send sends a message of the current term without waiting for the disk.
 func (n *Node) send(to ServerID, message Message) {
 	n.emit(Send{Envelope{From: n.Self, To: to, Term: n.state.Term, Message: message}})
 }
 
-// reply sends a message of the given term once the term and vote are durable: a promise that a crash can take
-// back would let two leaders count it.
+// sendWhenDurable sends a message of the given term once the current term and vote are durable. If a crash could revoke
+// a vote after it was sent, two leaders could count it.
 func (n *Node) sendWhenDurable(to ServerID, term Term, message Message) {
 	envelope := Envelope{From: n.Self, To: to, Term: term, Message: message}
 	if n.lastPersist <= n.durable {
@@ -170,7 +170,7 @@
 	n.deferred = append(n.deferred, deferredSend{write: n.lastPersist, envelope: envelope})
 }
 
-// announce tells the adapter about changes of leader and members.
+// announce reports changes of leader and members to the adapter.
 func (n *Node) announce() {
 	if !n.membersAnnounced {
 		n.membersAnnounced = true
--- a/state/replicator/peerstate.go
+++ b/state/replicator/peerstate.go
@@ -1,10 +1,10 @@
 package replicator
 
-// peerState is how a leader sends entries to a peer.
+// peerState is the mode in which a leader sends entries to a peer.
 type peerState uint8
 
 const (
-	probing      peerState = iota // one message until the logs are known to agree
-	streaming                     // up to MaxInflight messages at once
-	snapshotting                  // the adapter sends a snapshot
+	probing      peerState = iota // one message at a time until the last matching entry is known
+	streaming                     // up to MaxInflight unacknowledged messages
+	snapshotting                  // the adapter is sending a snapshot
 )
--- a/state/replicator/proposal.go
+++ b/state/replicator/proposal.go
@@ -1,6 +1,6 @@
 package replicator
 
-// proposal waits for the disk to finish the previous append.
+// proposal is a proposal that waits until the previous append is synced.
 type proposal struct {
 	ticket Ticket
 	data   []byte
--- a/state/replicator/propose.go
+++ b/state/replicator/propose.go
@@ -1,7 +1,7 @@
 package replicator
 
-// Propose asks the leader to commit Data, which the caller no longer modifies. It is answered by
-// Proposed or Refused.
+// Propose asks the leader to commit Data, which must not be modified afterwards. The node answers with Proposed or
+// Refused.
 type Propose struct {
 	Ticket Ticket
 	Data   []byte
--- a/state/replicator/proposed.go
+++ b/state/replicator/proposed.go
@@ -1,7 +1,7 @@
 package replicator
 
-// Proposed says at which position of the log a request is. It took effect if Apply hands over this index with
-// this term; another term at this index means that it is lost.
+// Proposed reports the log position of a request. The request took effect if Apply delivers this index with this term; if
+// Apply delivers another term at this index, the request is lost.
 type Proposed struct {
 	Ticket Ticket
 	Index  Index
--- a/state/replicator/receive.go
+++ b/state/replicator/receive.go
@@ -1,7 +1,7 @@
 package replicator
 
-// receive handles a message. A newer term makes this server a follower, except for a request for a vote,
-// which receiveRequestVote may ignore, and a pre-vote, whose term nobody has entered.
+// receive handles a message. A newer term makes this server a follower. Exceptions are a RequestVote, which
+// receiveRequestVote may ignore, and a granted pre-vote, because no server has entered its term.
 func (n *Node) receive(envelope Envelope) {
 	if envelope.To != n.Self || !envelope.valid() {
 		return
@@ -29,7 +29,7 @@
 			n.receiveAppendReply(from, message)
 		}
 	case TimeoutNow:
-		// The sender led this term and no longer does, so its lease does not stand in the way of a vote.
+		// The sender led this term and has stepped down, so its lease no longer prevents a vote.
 		if term == n.state.Term && n.role != Leader && n.role != Candidate && n.mayCampaign() {
 			n.startElection(true)
 		}
@@ -42,7 +42,8 @@
 	}
 }
 
-// follow accepts from as the leader of term, or tells it of a newer term.
+// acceptLeader accepts from as the leader of term, or rejects its message if this server has a newer term. It reports
+// whether the message is to be handled.
 func (n *Node) acceptLeader(from ServerID, term Term) bool {
 	if term < n.state.Term {
 		n.sendWhenDurable(from, n.state.Term, AppendReply{Rejected: true})
@@ -64,7 +65,7 @@
 	n.round = max(n.round, message.Round)
 	prev, prevTerm, entries := message.PrevIndex, message.PrevTerm, message.Entries
 	if prev < n.log.base {
-		// What the log no longer holds is committed and equal in every leader's log.
+		// Entries up to the base are committed and therefore equal in every leader's log.
 		covered := min(int(n.log.base-prev), len(entries))
 		prev, entries = prev+Index(covered), entries[covered:]
 		prevTerm, _ = n.log.term(prev)
@@ -82,7 +83,7 @@
 	}
 }
 
-// store appends the entries that the log does not hold, and first removes what conflicts with them.
+// appendMissing appends the entries that the log does not contain, after it has removed conflicting ones.
 func (n *Node) appendMissing(entries []Entry) {
 	for i, entry := range entries {
 		ownTerm, found := n.log.term(entry.Index)
@@ -118,13 +119,13 @@
 	n.sendAck()
 }
 
-// sendAck tells the leader what is both synced and equal to its log.
+// sendAck acknowledges the entries that are both synced and equal to the leader's log.
 func (n *Node) sendAck() {
 	n.acknowledged = min(n.synced, n.verified)
 	n.sendWhenDurable(n.leader, n.state.Term, AppendReply{Round: n.round, Match: n.acknowledged})
 }
 
-// acknowledge reports entries that became durable since the last report; one report covers all of a sync.
+// acknowledge sends one acknowledgement for all entries that became durable since the last one.
 func (n *Node) acknowledge() {
 	if n.role == Follower && !n.leader.IsZero() && min(n.synced, n.verified) > n.acknowledged {
 		n.sendAck()
--- a/state/replicator/received.go
+++ b/state/replicator/received.go
@@ -1,6 +1,6 @@
 package replicator
 
-// Received is a message from a peer. The adapter has checked its bounds.
+// Received is a message from a peer. The adapter has checked the message's limits.
 type Received struct {
 	Envelope Envelope
 }
--- a/state/replicator/refused.go
+++ b/state/replicator/refused.go
@@ -1,10 +1,10 @@
 package replicator
 
-// Refused answers a request that had no effect.
+// Refused reports that a request had no effect.
 type Refused struct {
 	Ticket Ticket
 	Reason Reason
-	Leader ServerID // for NotLeader; zero while unknown
+	Leader ServerID // the leader to ask after NotLeader; zero while unknown
 }
 
 func (Refused) action() {}
--- a/state/replicator/request.go
+++ b/state/replicator/request.go
@@ -1,6 +1,6 @@
 package replicator
 
-// refusal returns why the server takes no request now, or "".
+// refusalReason returns why the server cannot accept a request now, or "".
 func (n *Node) refusalReason() Reason {
 	switch {
 	case n.role != Leader:
@@ -34,7 +34,8 @@
 	n.lead.pending = append(n.lead.pending, proposal{ticket: event.Ticket, data: event.Data})
 }
 
-// flush appends all proposals that arrived while the previous append was being synced, so that many share one write.
+// appendProposals appends all proposals that arrived while the previous append was being synced, so that they share one
+// write.
 func (n *Node) appendProposals() {
 	if len(n.lead.pending) == 0 || n.synced < n.log.last() {
 		return
--- a/state/replicator/requestvote.go
+++ b/state/replicator/requestvote.go
@@ -1,9 +1,9 @@
 package replicator
 
-// RequestVote asks for a vote in the term of the envelope.
+// RequestVote requests a vote in the term of the envelope.
 type RequestVote struct {
 	PreVote   bool // asks only whether the vote would be granted; neither side changes its term
-	Transfer  bool // the leader of the previous term gave up its lease for this candidate
+	Transfer  bool // the previous leader gave up its lease and transferred the leadership to this candidate
 	LastIndex Index
 	LastTerm  Term
 }
--- a/state/replicator/role.go
+++ b/state/replicator/role.go
@@ -1,6 +1,6 @@
 package replicator
 
-// Role is what a server does in its term.
+// Role is the role of a server in its term.
 type Role uint8
 
 // The roles.
--- a/state/replicator/rounds.go
+++ b/state/replicator/rounds.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// rounds remembers when each heartbeat round began. Messages carry the number of a round instead of a time: the
-// leader measures its lease on its own clock, from the moment of sending.
+// rounds stores when each recent heartbeat round began. Messages carry the number of a round instead of a time, so that
+// the leader measures its lease on its own clock, from the time of sending.
 type rounds struct {
 	first uint64
 	times []time.Time
 }
 
-// begin starts a round and forgets those before horizon.
+// begin starts a round and deletes the rounds that began before horizon.
 func (r *rounds) begin(now, horizon time.Time) {
 	for len(r.times) > 0 && r.times[0].Before(horizon) {
 		r.times = r.times[1:]
@@ -21,7 +21,7 @@
 // current returns the number of the newest round.
 func (r *rounds) current() uint64 { return r.first + uint64(len(r.times)) - 1 }
 
-// sent returns when a round began, or the zero time when it is forgotten or unknown.
+// startOf returns when a round began, or the zero time if the round was deleted or is unknown.
 func (r *rounds) startOf(round uint64) time.Time {
 	if round < r.first || round > r.current() {
 		return time.Time{}
--- a/state/replicator/savesnapshot.go
+++ b/state/replicator/savesnapshot.go
@@ -1,7 +1,7 @@
 package replicator
 
-// SaveSnapshot asks for a snapshot of the state as it is now, after the entry at Snapshot.Index. The next one
-// comes after SnapshotSaved, or after a Restore, which makes an older snapshot that is still being saved worthless.
+// SaveSnapshot requests a snapshot of the current state, which is the state after the entry at Snapshot.Index. The node
+// requests the next snapshot only after SnapshotSaved or after a Restore, which supersedes a snapshot being saved.
 type SaveSnapshot struct {
 	Snapshot Snapshot
 }
--- a/state/replicator/send.go
+++ b/state/replicator/send.go
@@ -1,6 +1,6 @@
 package replicator
 
-// Send sends a message to the server Envelope.To.
+// Send sends an envelope to the server Envelope.To.
 type Send struct {
 	Envelope Envelope
 }
--- a/state/replicator/server.go
+++ b/state/replicator/server.go
@@ -6,9 +6,9 @@
 type Server struct {
 	ID   ServerID
 	Addr netip.AddrPort
-	// Voter is false for a learner, which receives the log and counts toward no majority. The
-	// leader makes a learner a voter once the learner holds every committed entry.
+	// Voter is false for a learner, which receives the log but does not count toward majorities. The leader promotes a
+	// learner to a voter once its log holds every committed entry.
 	Voter bool
-	// Replaces names the server that the leader removes after this one became a voter; it may be zero.
+	// Replaces is the server that the leader removes after this one became a voter; zero if there is none.
 	Replaces ServerID
 }
--- a/state/replicator/serverid.go
+++ b/state/replicator/serverid.go
@@ -6,16 +6,16 @@
 	"strings"
 )
 
-// ServerID names a server and the disk that holds its log and votes.
+// ServerID identifies a server together with the disk that stores its log and votes.
 type ServerID struct {
 	Name string
 	Disk uint64 // random, created with the data folder
 }
 
-// IsZero reports whether id names nothing.
+// IsZero reports whether id identifies no server.
 func (id ServerID) IsZero() bool { return id == ServerID{} }
 
-// Compare orders identities by name and then by disk.
+// Compare orders identities by name, then by disk.
 func (id ServerID) Compare(other ServerID) int {
 	return cmp.Or(strings.Compare(id.Name, other.Name), cmp.Compare(id.Disk, other.Disk))
 }
--- a/state/replicator/settings.go
+++ b/state/replicator/settings.go
@@ -6,25 +6,26 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Settings are the same on every server of a cluster.
+// Settings must be the same on every server of a cluster.
 type Settings struct {
-	Heartbeat       time.Duration // between two heartbeats to an idle peer
-	Lease           time.Duration // how long a majority's acknowledgement lets the leader answer
-	ElectionTimeout time.Duration // least silence of the leader before a follower votes for another
-	MaxEntry        int           // bytes of one proposal
-	MaxAppend       int           // bytes of entries in one message
-	MaxInflight     int           // messages with entries sent to a peer and not acknowledged
-	MaxPending      int           // bytes of proposals that wait or are not committed
-	SnapshotEvery   int           // entries applied between two snapshots
-	KeepEntries     int           // entries kept before a snapshot for followers that are a little behind
+	Heartbeat       time.Duration // interval between heartbeats
+	Lease           time.Duration // how long the leader may answer after it sent a message that a majority acknowledged
+	ElectionTimeout time.Duration // minimum time without a leader's message before a follower votes for another server
+	MaxEntry        int           // maximum bytes of one proposal
+	MaxAppend       int           // maximum bytes of entries in one message, unless it holds a single entry
+	MaxInflight     int           // maximum unacknowledged messages with entries to one peer
+	MaxPending      int           // maximum bytes of proposals that are not committed
+	SnapshotEvery   int           // number of entries applied between two snapshots
+	KeepEntries     int           // number of entries kept before a snapshot, for followers that are slightly behind
 }
 
-// Defaults suit links of a few milliseconds between availability zones and disks that sync in several milliseconds.
+// Defaults returns settings for latencies of a few milliseconds between availability zones and disks that sync in several
+// milliseconds.
 func Defaults() Settings {
 	return Settings{
 		Heartbeat:       200 * time.Millisecond,
-		Lease:           800 * time.Millisecond,  // survives the loss of two heartbeats in a row
-		ElectionTimeout: 1200 * time.Millisecond, // clocks may differ in rate by a third before leases overlap
+		Lease:           800 * time.Millisecond,  // survives the loss of two consecutive heartbeats
+		ElectionTimeout: 1200 * time.Millisecond, // clock rates may differ by a third before two leases can overlap
 		MaxEntry:        1 << 20,
 		MaxAppend:       256 << 10,
 		MaxInflight:     16,
--- a/state/replicator/snapshot.go
+++ b/state/replicator/snapshot.go
@@ -1,9 +1,8 @@
 package replicator
 
-// Snapshot describes a stored snapshot: the state after the entry at Index was applied. The content
-// stays with the adapter.
+// Snapshot describes a stored snapshot of the state after the entry at Index was applied. The adapter stores the content.
 type Snapshot struct {
 	Index   Index
-	Term    Term     // of the entry at Index
-	Servers []Server // in force at Index, sorted by ID
+	Term    Term     // term of the entry at Index
+	Servers []Server // servers in effect at Index, sorted by ID
 }
--- a/state/replicator/snapshotsaved.go
+++ b/state/replicator/snapshotsaved.go
@@ -1,7 +1,7 @@
 package replicator
 
-// SnapshotSaved reports that the snapshot that SaveSnapshot asked for survives a crash. A snapshot
-// never takes the place of one with a greater index.
+// SnapshotSaved reports that the snapshot requested by SaveSnapshot is durable. The adapter never replaces a snapshot by
+// one with a smaller index.
 type SnapshotSaved struct {
 	Index Index
 }
--- a/state/replicator/snapshotsent.go
+++ b/state/replicator/snapshotsent.go
@@ -1,6 +1,6 @@
 package replicator
 
-// SnapshotSent reports the end of a SendSnapshot, successful or not.
+// SnapshotSent reports that a SendSnapshot ended, successfully or not.
 type SnapshotSent struct {
 	To     ServerID
 	Index  Index
--- a/state/replicator/start.go
+++ b/state/replicator/start.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// start takes over what the data folder held. It counts as contact with a leader: before the restart this server may have
-// acknowledged one, whose lease relies on no vote for another within an election timeout.
+// start loads the recovered state. The start counts as contact with a leader: before the restart, this server may have
+// acknowledged a leader whose lease relies on no vote for another candidate within an election timeout.
 func (n *Node) start() {
 	n.started = true
 	n.state = n.Recovered.State
@@ -19,14 +19,14 @@
 	n.Recovered = Recovered{}
 	n.synced = n.log.last()
 	if lastTerm := n.log.lastTerm(); lastTerm > n.state.Term {
-		// The log was stored and the term was not, so no vote in that term left this server.
+		// The log was stored but the term was not, so this server cannot have sent a vote in that term.
 		n.state = HardState{Term: lastTerm}
 		n.persist()
 	}
 }
 
-// recoverEntries takes the entries after the snapshot. When the stored log does not contain the
-// snapshot's position, a crash interrupted a Restore, and it is done again.
+// recoverEntries loads the entries after the snapshot. If the stored log does not contain the snapshot's entry, a crash
+// interrupted a Restore, and the Restore is emitted again.
 func (n *Node) recoverEntries() {
 	entries := n.Recovered.Entries
 	if len(entries) == 0 {
@@ -47,7 +47,7 @@
 func (n *Node) bootstrap(servers []Server) {
 	servers = slices.Clone(servers)
 	slices.SortFunc(servers, func(a, b Server) int { return a.ID.Compare(b.ID) })
-	// A crash may have left the term of an earlier Bootstrap without its entry; no leader has term 1.
+	// After a crash during an earlier Bootstrap, term 1 may be stored without the entry. No leader has term 1.
 	if n.state.Term > 1 || n.log.last() > 0 || !newMembership(0, servers).isVoter(n.Self) {
 		return
 	}
--- a/state/replicator/started.go
+++ b/state/replicator/started.go
@@ -1,6 +1,6 @@
 package replicator
 
-// Started is the first event; earlier ones are ignored.
+// Started is the first event; the node ignores events before it.
 type Started struct{}
 
 func (Started) event() {}
--- a/state/replicator/status.go
+++ b/state/replicator/status.go
@@ -3,10 +3,10 @@
 // Commit returns the index of the last entry known to be committed.
 func (n *Node) Commit() Index { return n.commit }
 
-// Synced returns the index of the last entry that is durable at this server.
+// Synced returns the index of the last entry that is durable on this server.
 func (n *Node) Synced() Index { return n.synced }
 
-// Peers returns what a leader knows of the other servers, sorted by ID, and nothing at a server that does not lead.
+// Peers returns the status of the other servers, sorted by ID, or nil if this server does not lead.
 func (n *Node) Peers() []PeerStatus {
 	if n.lead == nil {
 		return nil
--- a/state/replicator/synced.go
+++ b/state/replicator/synced.go
@@ -1,6 +1,6 @@
 package replicator
 
-// Synced reports that the disk actions up to Write, inclusive, survive a crash.
+// Synced reports that the disk actions up to and including Write are durable.
 type Synced struct {
 	Write Write
 }
--- a/state/replicator/ticket.go
+++ b/state/replicator/ticket.go
@@ -1,4 +1,4 @@
 package replicator
 
-// Ticket is chosen by the adapter and ties a request to its Proposed or Refused.
+// Ticket identifies a request in its Proposed or Refused. The adapter chooses it.
 type Ticket uint64
--- a/state/replicator/timeoutnow.go
+++ b/state/replicator/timeoutnow.go
@@ -1,6 +1,6 @@
 package replicator
 
-// TimeoutNow tells the receiver to campaign at once. The sender no longer leads.
+// TimeoutNow tells the receiver to start an election immediately. The sender no longer leads.
 type TimeoutNow struct{}
 
 func (TimeoutNow) message() {}
--- a/state/replicator/transfer.go
+++ b/state/replicator/transfer.go
@@ -1,10 +1,10 @@
 package replicator
 
-// Transfer asks the leader to hand over, for a planned stop. BecameFollower follows once it has. When
-// the target does not catch up within an election timeout, the leader takes proposals again.
+// Transfer asks the leader to transfer the leadership before a planned stop. BecameFollower reports that the leader has
+// stepped down. If the target does not catch up within an election timeout, the leader accepts proposals again.
 type Transfer struct {
-	Ticket Ticket   // for Refused
-	To     ServerID // a voter, or zero for the one that holds most of the log
+	Ticket Ticket   // returned by Refused
+	To     ServerID // a voter, or zero for the responsive voter that holds most of the log
 }
 
 func (Transfer) event() {}
