--- a/state/replicator/check.go
+++ b/state/replicator/check.go
@@ -8,7 +8,7 @@
 	case n.Self.Name == "" || n.Self.Disk == 0:
 		return errors.Newf("Self: got %v, expected a name and a disk identity", n.Self)
 	case n.Random == nil:
-		return errors.New("Random: expected a source")
+		return errors.New("Random: got nil, expected a source of random numbers")
 	}
 	if err := n.Settings.Check(); err != nil {
 		return errors.Wrap(err, "Settings")
--- a/state/replicator/check_test.go
+++ b/state/replicator/check_test.go
@@ -12,7 +12,7 @@
 
 var _ looper.Machine[Event, Action] = (*Node)(nil)
 
-// Guards against settings and data folders that break the rules of the lease or the log.
+// Guards against settings and recovered logs that are accepted although they violate the conditions of the lease or the log.
 func TestCheckNamesTheField(t *testing.T) {
 	valid := func() *Node {
 		return &Node{Self: ServerID{Name: "a", Disk: 1}, Settings: Defaults(), Random: rand.New(rand.NewPCG(1, 1))}
@@ -38,7 +38,7 @@
 	}
 }
 
-// Guards against entries that follow another entry than the snapshot's, left behind by a crash during a Restore.
+// Guards against a log whose entries do not follow the snapshot's entry. A crash during a Restore leaves such entries behind.
 func TestInterruptedRestoreIsRepeated(t *testing.T) {
 	snapshot := Snapshot{Index: 2, Term: 3, Servers: []Server{{ID: ServerID{Name: "a", Disk: 1}, Voter: true}}}
 	for name, entries := range map[string][]Entry{
@@ -55,7 +55,7 @@
 	}
 }
 
-// Guards against a server that can never begin a cluster because it crashed while it first tried.
+// Guards against a server that can never bootstrap a cluster because a crash interrupted its first Bootstrap.
 func TestBootstrapAfterCrash(t *testing.T) {
 	id := ServerID{Name: "a", Disk: 1}
 	node := &Node{Self: id, Settings: Defaults(), Random: rand.New(rand.NewPCG(1, 1)), Recovered: Recovered{State: HardState{Term: 1}}}
@@ -64,7 +64,7 @@
 	must.Eq(t, 1, node.log.last())
 }
 
-// Guards against requests that are taken although they can't be kept.
+// Guards against requests that are accepted although the server cannot carry them out.
 func TestRefusals(t *testing.T) {
 	c, leader := startCluster(t, 3)
 	now, id := leader.clock(c.now), leader.id
--- a/state/replicator/cluster_test.go
+++ b/state/replicator/cluster_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// packet is a message on its way; a snapshot travels with the digest of its content.
+// packet is a message in transit. A snapshot is sent as the digest of its content.
 type packet struct {
 	envelope Envelope
 	content  *uint64
 }
 
-// cluster runs several servers in one goroutine and checks the safety rules after every step.
+// cluster runs several servers in one goroutine and checks the safety invariants after every step.
 type cluster struct {
 	settings   Settings
 	random     *rand.Rand
@@ -27,13 +27,14 @@
 	err        error
 }
 
-// testSettings leave the lease little room: with clocks that differ by 10% in rate it ends 50 ms before the election timeout.
+// testSettings returns settings with a small safety margin: with clock rates that differ by 10%, the lease ends 50 ms before
+// the election timeout.
 func testSettings() Settings {
 	return Settings{Heartbeat: 100 * time.Millisecond, Lease: 400 * time.Millisecond, ElectionTimeout: 500 * time.Millisecond,
 		MaxEntry: 64, MaxAppend: 120, MaxInflight: 3, MaxPending: 1024, SnapshotEvery: 6, KeepEntries: 2}
 }
 
-// newCluster starts voters servers that bootstrap together.
+// newCluster starts a cluster in which the given number of voters bootstrap together.
 func newCluster(voters int, seed uint64, settings Settings) *cluster {
 	c := &cluster{settings: settings, random: rand.New(rand.NewPCG(seed, 1)), now: epoch.Add(time.Hour),
 		blocked: make(map[[2]ServerID]bool), invariants: newInvariants()}
@@ -68,12 +69,12 @@
 	c.step(h, Started{})
 }
 
-// crash loses every write after the first kept ones.
+// crash stops a server. The first kept queued writes become durable, the others are lost.
 func (c *cluster) crash(h *host, kept int) {
 	_, err := h.disk.write(kept)
 	c.recordError(err)
 	if restore, ok := h.disk.next().(Restore); ok && c.random.IntN(2) == 0 {
-		// The snapshot took the place of the old one, and the stored log was not reset.
+		// The crash interrupts the Restore: the snapshot is replaced, but the stored log is not reset.
 		h.disk.snapshot = restore.Snapshot
 	}
 	h.up, h.disk.queue, h.disk.saving = false, nil, nil
@@ -87,7 +88,7 @@
 	}
 }
 
-// step delivers an event to a server that is up, and the actions to its surroundings.
+// step delivers an event to a server that is up, and performs the resulting actions.
 func (c *cluster) step(h *host, event Event) {
 	if h.up && c.err == nil {
 		c.perform(h, h.node.Step(h.clock(c.now), event))
@@ -101,7 +102,7 @@
 }
 
 func (c *cluster) perform(h *host, actions []Action) {
-	// A commit is judged before the entries are applied and may be compacted.
+	// A commit is checked before its entries are applied, because they may be compacted afterwards.
 	c.recordError(c.invariants.checkStep(h, c.hosts, c.now, actions))
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -126,14 +127,14 @@
 	}
 }
 
-// take removes a packet from the network.
+// removePacket removes a packet from the network and returns it.
 func (c *cluster) removePacket(i int) packet {
 	p := c.packets[i]
 	c.packets = append(c.packets[:i], c.packets[i+1:]...)
 	return p
 }
 
-// deliver hands a packet over, or loses it when the receiver is down or the link is blocked.
+// deliver delivers a packet, or loses it if the receiver is down or the connection is blocked.
 func (c *cluster) deliver(p packet) {
 	from, to := c.host(p.envelope.From), c.host(p.envelope.To)
 	arrives := to != nil && to.up && !c.blocked[[2]ServerID{from.id, to.id}]
@@ -172,7 +173,7 @@
 	}
 }
 
-// propose sends a fresh value to h.
+// propose proposes a new value to h.
 func (c *cluster) propose(h *host) {
 	c.proposed++
 	c.step(h, Propose{Ticket: Ticket(c.proposed), Data: binary.BigEndian.AppendUint64(nil, c.proposed)})
@@ -188,7 +189,7 @@
 	return nil
 }
 
-// advance moves the clock to the next deadline, but at most by limit, and expires what is due.
+// advance moves the clock to the next deadline, but at most by limit, and expires the servers whose deadline is due.
 func (c *cluster) advance(limit time.Duration) {
 	next := c.now.Add(limit)
 	for _, h := range c.hosts {
@@ -207,7 +208,7 @@
 	c.recordError(c.invariants.checkLeases(c.hosts, c.now))
 }
 
-// drain delivers and syncs everything, in order, until nothing is under way.
+// drain delivers all packets and syncs all writes, in order, until none are left.
 func (c *cluster) drain() {
 	rounds := 0
 	for busy := true; busy && c.err == nil; rounds++ {
@@ -228,7 +229,8 @@
 	}
 }
 
-// run behaves orderly until done, but at most for limit. It returns whether done came true.
+// runWithoutFaults runs the cluster without new faults until done returns true, but at most for limit. It reports whether
+// done returned true.
 func (c *cluster) runWithoutFaults(limit time.Duration, done func() bool) bool {
 	for end := c.now.Add(limit); c.err == nil; {
 		c.drain()
--- a/state/replicator/disk.go
+++ b/state/replicator/disk.go
@@ -19,7 +19,7 @@
 		n.membersChanged()
 	}
 	write := n.nextWrite()
-	n.writes = append(n.writes, logWrite{write: write, last: n.log.last(), issuedAt: n.now})
+	n.pendingWrites = append(n.pendingWrites, logWrite{write: write, last: n.log.last(), issuedAt: n.now})
 	n.emit(Append{Write: write, Entries: entries})
 }
 
@@ -33,8 +33,8 @@
 		n.membersChanged()
 	}
 	n.synced = min(n.synced, from-1)
-	for i := range n.writes {
-		n.writes[i].last = min(n.writes[i].last, from-1)
+	for i := range n.pendingWrites {
+		n.pendingWrites[i].last = min(n.pendingWrites[i].last, from-1)
 	}
 	n.emit(Truncate{Write: n.nextWrite(), From: from})
 }
@@ -48,16 +48,16 @@
 	n.commit, n.applied = snapshot.Index, snapshot.Index
 	n.synced = 0
 	write := n.nextWrite()
-	n.writes = []logWrite{{write: write, last: snapshot.Index, issuedAt: n.now}}
+	n.pendingWrites = []logWrite{{write: write, last: snapshot.Index, issuedAt: n.now}}
 	n.emit(Restore{Write: write, Snapshot: snapshot})
 }
 
 // markDurable records that the disk actions up to write are durable, and sends the messages that waited for them.
 func (n *Node) markDurable(write Write) {
 	n.durable = max(n.durable, min(write, n.lastIssued))
-	for len(n.writes) > 0 && n.writes[0].write <= n.durable {
-		n.synced = n.writes[0].last
-		n.writes = n.writes[1:]
+	for len(n.pendingWrites) > 0 && n.pendingWrites[0].write <= n.durable {
+		n.synced = n.pendingWrites[0].last
+		n.pendingWrites = n.pendingWrites[1:]
 	}
 	for len(n.deferred) > 0 && n.deferred[0].write <= n.durable {
 		n.emit(Send{n.deferred[0].envelope})
--- a/state/replicator/disk_test.go
+++ b/state/replicator/disk_test.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// disk is a data folder: what is durable, and the writes that a crash may lose.
+// disk is a fake data folder with its durable content and the queued writes, which a crash may lose.
 type disk struct {
 	state     HardState
 	snapshot  Snapshot
@@ -13,7 +13,7 @@
 	queue     []Action
 	snapshots map[Index]uint64 // digest of the state in each snapshot file
 	saving    *SaveSnapshot
-	digest    uint64 // of the state that is being saved
+	digest    uint64 // digest of the state that is being saved
 }
 
 func newDisk() *disk { return &disk{snapshots: make(map[Index]uint64)} }
@@ -69,7 +69,7 @@
 	return d.entries[len(d.entries)-1].Index
 }
 
-// holds reports whether the entry at index survives a crash.
+// isDurable reports whether the entry at index survives a crash.
 func (d *disk) isDurable(index Index, term Term) bool {
 	if index <= d.snapshot.Index {
 		return true
@@ -77,7 +77,7 @@
 	return slices.ContainsFunc(d.entries, func(e Entry) bool { return e.Index == index && e.Term == term })
 }
 
-// finishSnapshot makes the snapshot that is being saved durable.
+// completeSnapshot makes the snapshot that is being saved durable and returns its index.
 func (d *disk) completeSnapshot() Index {
 	saved := d.saving.Snapshot
 	d.saving = nil
--- a/state/replicator/doc.go
+++ b/state/replicator/doc.go
@@ -22,7 +22,7 @@
 //     at the next start.
 //   - Apply runs on the control goroutine: the adapter applies the committed entries to the state. It recognizes its own
 //     proposals by the index and term that Proposed reported, and answers them.
-//   - SaveSnapshot takes the state as it is at that moment and writes it outside the control goroutine; SnapshotSaved
+//   - SaveSnapshot captures the state as it is at that moment and writes it outside the control goroutine; SnapshotSaved
 //     reports that the file is durable.
 //   - BecameLeader reports that every earlier entry is applied. The adapter calls Leading(now) before it answers any
 //     request as leader. After BecameFollower, the outcome of proposals that were reported as Proposed and not yet
--- a/state/replicator/election.go
+++ b/state/replicator/election.go
@@ -6,7 +6,7 @@
 // unlikely that two servers campaign at the same time.
 func (n *Node) resetElection() {
 	timeout := n.Settings.ElectionTimeout
-	n.electionAt = n.now.Add(timeout + time.Duration(n.Random.Int64N(int64(timeout))))
+	n.electionDeadline = n.now.Add(timeout + time.Duration(n.Random.Int64N(int64(timeout))))
 }
 
 // mayCampaign reports whether this server is a voter. A voter whose removal is not committed still campaigns: if its log is
--- a/state/replicator/fault_test.go
+++ b/state/replicator/fault_test.go
@@ -7,7 +7,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// startCluster returns a cluster of voters servers with a leader and one applied proposal.
+// startCluster starts a cluster with the given number of voters. It returns the cluster and its leader, which has applied
+// one proposal.
 func startCluster(t *testing.T, voters int) (*cluster, *host) {
 	t.Helper()
 	c := newCluster(voters, 1, testSettings())
@@ -16,7 +17,7 @@
 	return c, c.leading()
 }
 
-// assertRuns fails the test unless done comes true within 10 s of the cluster's time.
+// assertReached fails the test unless done returns true within 10 s of the cluster's time.
 func assertReached(t *testing.T, c *cluster, done func() bool) {
 	t.Helper()
 	reached := c.runWithoutFaults(10*time.Second, done)
@@ -24,7 +25,7 @@
 	must.True(t, reached)
 }
 
-// assertCommits fails the test unless count proposals are applied by the leader.
+// assertCommits proposes count values and fails the test unless the leader applies them.
 func assertCommits(t *testing.T, c *cluster, count int) {
 	t.Helper()
 	for range count {
@@ -36,7 +37,7 @@
 	}
 }
 
-// assertEqual fails the test unless all members apply the leader's whole log.
+// assertAllApplied fails the test unless all members apply the leader's whole log.
 func assertAllApplied(t *testing.T, c *cluster) {
 	t.Helper()
 	s := &schedule{cluster: c}
@@ -64,11 +65,11 @@
 	return rest
 }
 
-// Guards against a cut off leader that answers with outdated state after another one was elected.
+// Guards against a partitioned leader that answers with outdated state after another leader was elected.
 func TestIsolatedLeaderStopsAnsweringFirst(t *testing.T) {
 	c, old := startCluster(t, 3)
 	c.isolate(old)
-	// A proposal that the isolated leader still takes must never be applied.
+	// A proposal that the isolated leader still accepts must never be applied.
 	c.propose(old)
 	assertReached(t, c, func() bool { return !old.node.Leading(old.clock(c.now)) })
 	for _, other := range others(c, old) {
@@ -81,7 +82,7 @@
 	must.Eq(t, c.leading().id, old.node.Leader())
 }
 
-// Guards against losing committed entries when a second server goes right after a repair.
+// Guards against the loss of committed entries when a second server fails right after a lost one was replaced.
 func TestSecondLossAfterRepair(t *testing.T) {
 	for name, second := range map[string]int{"leader lost next": 0, "other server lost next": 1} {
 		t.Run(name, func(t *testing.T) {
@@ -104,7 +105,8 @@
 	}
 }
 
-// Guards against a host that lost its disk and helps to elect a leader without the entries it had acknowledged.
+// Guards against a host that lost its disk and then helps to elect a leader that lacks the entries which the host had
+// acknowledged.
 func TestEmptyDiskDoesNotVote(t *testing.T) {
 	c, leader := startCluster(t, 3)
 	behind, lost := others(c, leader)[0], others(c, leader)[1]
@@ -116,12 +118,12 @@
 	returned := c.addHost(lost.id.Name)
 	c.startHost(behind)
 	request := RequestVote{LastIndex: behind.node.log.last(), LastTerm: behind.node.log.lastTerm()}
-	t.Run("it ignores messages to its former identity", func(t *testing.T) {
+	t.Run("the host ignores messages to its former identity", func(t *testing.T) {
 		c.now = c.now.Add(time.Minute)
 		envelope := Envelope{From: behind.id, To: lost.id, Term: 9, Message: request}
 		must.SliceEmpty(t, returned.node.Step(returned.clock(c.now), Received{Envelope: envelope}))
 	})
-	t.Run("its vote does not count", func(t *testing.T) {
+	t.Run("the vote of the host's new identity does not count", func(t *testing.T) {
 		c.advance(0)
 		behind.node.startElection(false)
 		c.perform(behind, behind.node.finishStep())
@@ -135,7 +137,7 @@
 		must.False(t, c.runWithoutFaults(20*time.Second, func() bool { return c.leading() != nil }))
 		must.NoError(t, c.err)
 	})
-	t.Run("it rejoins as a learner", func(t *testing.T) {
+	t.Run("the host rejoins as a learner", func(t *testing.T) {
 		c.startHost(leader)
 		assertReached(t, c, func() bool { return c.leading() != nil })
 		c.step(c.leading(), AddServer{Server: Server{ID: returned.id, Replaces: lost.id}})
@@ -144,7 +146,7 @@
 	})
 }
 
-// Guards against a follower that never catches up because the log no longer reaches back to it.
+// Guards against a follower that never catches up because the leader's log is compacted beyond the follower's last entry.
 func TestFarBehindFollowerCatchesUp(t *testing.T) {
 	c, leader := startCluster(t, 3)
 	behind := others(c, leader)[0]
@@ -158,7 +160,7 @@
 	must.Greater(t, behind.disk.snapshot.Index, behind.disk.last())
 }
 
-// Guards against a planned stop that leaves the cluster without a leader for an election timeout.
+// Guards against a planned stop of the leader that leaves the cluster without a leader for an election timeout.
 func TestTransferElectsAtOnce(t *testing.T) {
 	c, leader := startCluster(t, 3)
 	before := c.now
@@ -169,7 +171,7 @@
 	must.Eq(t, before, c.now)
 }
 
-// Guards against a leader whose disk hangs, and which keeps the lead because its heartbeats still arrive.
+// Guards against a leader whose disk hangs but which keeps the leadership because its heartbeats still arrive.
 func TestLeaderWithHangingDiskHandsOver(t *testing.T) {
 	c, old := startCluster(t, 3)
 	c.propose(old)
@@ -188,7 +190,7 @@
 	assertAllApplied(t, c)
 }
 
-// Guards against one disk write and one message for each proposal.
+// Guards against a separate disk write and message for each proposal.
 func TestProposalsShareAnAppend(t *testing.T) {
 	c, leader := startCluster(t, 3)
 	c.propose(leader)
@@ -202,7 +204,7 @@
 	assertAllApplied(t, c)
 }
 
-// Guards against idle clusters that send more than a heartbeat and its answer to each follower.
+// Guards against an idle cluster that sends more than a heartbeat and its reply for each follower in each interval.
 func TestIdleTraffic(t *testing.T) {
 	c, leader := startCluster(t, 3)
 	assertAllApplied(t, c)
@@ -211,6 +213,6 @@
 		sent += len(c.packets)
 		c.drain()
 	}
-	must.LessEq(t, 2*11, sent) // the answers are sent while draining and not counted
+	must.LessEq(t, 2*11, sent) // the replies are sent while draining and not counted
 	must.NoError(t, c.err)
 }
--- a/state/replicator/lead.go
+++ b/state/replicator/lead.go
@@ -80,7 +80,7 @@
 // diskStalled reports whether the oldest disk write has been pending for an election timeout or longer. Proposals wait for the
 // leader's own disk, so a leader with a hanging disk would stop the cluster although it still sends heartbeats.
 func (n *Node) diskStalled() bool {
-	return len(n.writes) > 0 && !n.now.Before(n.writes[0].issuedAt.Add(n.Settings.ElectionTimeout))
+	return len(n.pendingWrites) > 0 && !n.now.Before(n.pendingWrites[0].issuedAt.Add(n.Settings.ElectionTimeout))
 }
 
 // heartbeat sends an AppendEntries without entries. To a streaming peer, the message names the last entry sent, so that
--- a/state/replicator/node.go
+++ b/state/replicator/node.go
@@ -13,30 +13,30 @@
 	Recovered Recovered
 	Random    *rand.Rand // randomizes the election timeouts
 
-	now           time.Time
-	actions       []Action
-	started       bool
-	role          Role
-	state         HardState
-	leader        ServerID
-	log           entryLog
-	members       memberships
-	commit        Index
-	applied       Index
-	leaderContact time.Time // arrival of a leader's last message; no vote is granted for an election timeout after it
-	electionAt    time.Time
-	votes         map[ServerID]bool
-	lead          *leadership // nil unless leading
+	now              time.Time
+	actions          []Action
+	started          bool
+	role             Role
+	state            HardState
+	leader           ServerID
+	log              entryLog
+	members          memberships
+	commit           Index
+	applied          Index
+	leaderContact    time.Time // arrival of a leader's last message; no vote is granted for an election timeout after it
+	electionDeadline time.Time
+	votes            map[ServerID]bool
+	lead             *leadership // nil unless leading
 
 	// Progress of the disk.
-	lastIssued  Write // number of the last disk action
-	durable     Write // number of the last durable disk action
-	lastPersist Write // number of the last Persist
-	writes      []logWrite
-	deferred    []deferredSend
-	synced      Index    // last durable entry
-	snapshot    Snapshot // the newest durable snapshot
-	saving      Snapshot // the snapshot that is being saved; its Index is zero if there is none
+	lastIssued    Write // number of the last disk action
+	durable       Write // number of the last durable disk action
+	lastPersist   Write // number of the last Persist
+	pendingWrites []logWrite
+	deferred      []deferredSend
+	synced        Index    // last durable entry
+	snapshot      Snapshot // the newest durable snapshot
+	saving        Snapshot // the snapshot that is being saved; its Index is zero if there is none
 
 	// State of a follower, reset for each term.
 	verified     Index  // the log equals the leader's up to this entry
@@ -90,7 +90,7 @@
 	switch {
 	case n.role == Leader:
 		n.expireLeader()
-	case !n.electionAt.After(now):
+	case !n.electionDeadline.After(now):
 		n.startPreVote()
 	}
 	return n.finishStep()
@@ -104,7 +104,7 @@
 	case n.role == Leader:
 		return n.nextLeader()
 	case n.mayCampaign():
-		return n.electionAt
+		return n.electionDeadline
 	}
 	return time.Time{}
 }
--- a/state/replicator/promise_test.go
+++ b/state/replicator/promise_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// assertVote sends h a request of an up to date candidate and compares what the vote is.
+// assertVote sends h the vote request of an up-to-date candidate and fails the test unless h's decision is granted.
 func assertVote(t *testing.T, c *cluster, h *host, request RequestVote, granted bool) {
 	t.Helper()
 	request.LastIndex, request.LastTerm = 1000, 1000
@@ -17,13 +17,13 @@
 	must.Eq(t, granted, h.node.Term() == term && h.node.state.Vote == from)
 }
 
-// Guards against a vote within a lease that relies on this server.
+// Guards against a follower that votes while a leader's lease relies on it not to, and against a vote that a crash revokes.
 func TestFollowerKeepsItsPromise(t *testing.T) {
 	t.Run("no vote within an election timeout of a heartbeat", func(t *testing.T) {
 		c, leader := startCluster(t, 3)
 		assertVote(t, c, others(c, leader)[0], RequestVote{}, false)
 	})
-	t.Run("a restart does not end the promise", func(t *testing.T) {
+	t.Run("a restart does not allow an earlier vote", func(t *testing.T) {
 		c, leader := startCluster(t, 3)
 		follower := others(c, leader)[0]
 		c.crash(follower, 0)
@@ -32,11 +32,11 @@
 		c.now = c.now.Add(2 * c.settings.ElectionTimeout)
 		assertVote(t, c, follower, RequestVote{}, true)
 	})
-	t.Run("the leader that hands over releases its followers", func(t *testing.T) {
+	t.Run("a leadership transfer allows a vote at once", func(t *testing.T) {
 		c, leader := startCluster(t, 3)
 		assertVote(t, c, others(c, leader)[0], RequestVote{Transfer: true}, true)
 	})
-	t.Run("a vote leaves only when it is durable", func(t *testing.T) {
+	t.Run("a vote is sent only once it is durable", func(t *testing.T) {
 		c, leader := startCluster(t, 3)
 		follower := others(c, leader)[0]
 		c.now = c.now.Add(2 * c.settings.ElectionTimeout)
@@ -47,7 +47,8 @@
 	})
 }
 
-// Guards against a lease that a late answer extends beyond the promise it stands for.
+// Guards against a lease that outlasts the time in which the followers vote for no other candidate. A lease measured from
+// the arrival of a late reply would do so.
 func TestLeaseCountsFromSending(t *testing.T) {
 	c, leader := startCluster(t, 3)
 	for len(c.packets) == 0 {
@@ -66,8 +67,8 @@
 	must.False(t, leader.node.Leading(sent.Add(c.settings.Lease)))
 }
 
-// Guards against the commit of an entry of an earlier term by counting copies: a later leader without it could
-// still be elected.
+// Guards against a leader that commits an entry of an earlier term because a majority holds copies: a later leader without
+// that entry could still be elected.
 func TestCommitNeedsEntryOfOwnTerm(t *testing.T) {
 	c, leader := startCluster(t, 3)
 	n, commit := leader.node, leader.node.commit
@@ -88,7 +89,8 @@
 	must.Eq(t, old+1, n.commit)
 }
 
-// Guards against a report about a write that was truncated since and counts for what took its place.
+// Guards against a late Synced for a write whose entries were truncated: it must not mark the entries that replaced them as
+// synced.
 func TestLateSyncDoesNotCountAfterTruncation(t *testing.T) {
 	c, leader := startCluster(t, 3)
 	follower := others(c, leader)[0]
@@ -107,8 +109,8 @@
 	must.Eq(t, prev+1, n.synced)
 }
 
-// Guards against a cluster in which a voter holds the longest log, with its own removal uncommitted, and nobody can
-// be elected. Found by seed 143 of an earlier generator of schedules.
+// Guards against a cluster that can elect no leader because the voter with the longest log does not campaign: its own
+// removal is in its log, but not committed. Found by seed 143 of an earlier generator of schedules.
 func TestRemovedVoterWithLongestLogCampaigns(t *testing.T) {
 	c, leader := startCluster(t, 4)
 	rest := others(c, leader)
@@ -126,8 +128,8 @@
 	assertCommits(t, c, 1)
 }
 
-// Guards against a removal that leaves too few answering voters to commit anything. Found by seed 2821 of an
-// earlier generator of schedules.
+// Guards against a removal that leaves too few responsive voters to commit any entry. Found by seed 2821 of an earlier
+// generator of schedules.
 func TestRemovalWithoutMajorityIsRefused(t *testing.T) {
 	c, leader := startCluster(t, 3)
 	rest := others(c, leader)
--- a/state/replicator/property_test.go
+++ b/state/replicator/property_test.go
@@ -15,7 +15,7 @@
 	firstSeed = flag.Uint64("first-seed", 1, "seed of the first schedule")
 )
 
-// Runs repeat unless the command line asks for other seeds; -rapid.seed=0 draws a new one.
+// Every run uses the same seed unless the command line sets another one; -rapid.seed=0 draws a new seed.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
@@ -25,8 +25,8 @@
 const scheduleSteps = 500
 
 // TestSchedules runs the same schedules every time, in shards that use several processors. It guards against every
-// broken rule of rules and against a cluster that does not recover. A longer run with other seeds is
-// go test ./state/replicator -run 'TestSchedules$' -schedules 1000000 -first-seed 100000 -timeout 0
+// violation of the safety invariants and against a cluster that does not recover after faults. For a longer run with other
+// seeds: go test ./state/replicator -run 'TestSchedules$' -schedules 1000000 -first-seed 100000 -timeout 0
 func TestSchedules(t *testing.T) {
 	const shards = 8
 	for shard := range shards {
@@ -44,7 +44,7 @@
 	must.NoError(t, runSchedule(rand.New(rand.NewPCG(seed, 0)).IntN, scheduleSteps), must.Sprintf("seed %d", seed))
 }
 
-// TestScheduleShrinks draws the schedule from rapid, which reduces a failing one to the steps that matter.
+// TestScheduleShrinks draws the schedules with rapid, which reduces a failing schedule to the steps that are needed to fail.
 func TestScheduleShrinks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") }
--- a/state/replicator/receive.go
+++ b/state/replicator/receive.go
@@ -1,7 +1,7 @@
 package replicator
 
 // receive handles a message. A newer term makes this server a follower. Exceptions are a RequestVote, which
-// receiveRequestVote may ignore, and a granted pre-vote, because no server has entered its term.
+// receiveRequestVote may ignore, and the granted reply to a pre-vote, because no server has entered its term.
 func (n *Node) receive(envelope Envelope) {
 	if envelope.To != n.Self || !envelope.valid() {
 		return
--- a/state/replicator/schedule_test.go
+++ b/state/replicator/schedule_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// schedule is a run of random steps. pick returns a number from 0 to n-1 and decides everything. The weights of the kinds of
-// steps differ between schedules, because some faults show only where other faults are rare.
+// schedule is a run of random steps. All random choices come from pick, which returns a number from 0 to n-1. The weights of
+// the kinds of steps differ between schedules, because some faults have an effect only where other faults are rare.
 type schedule struct {
 	*cluster
 	pick    func(n int) int
 	weights [9]int
 }
 
-// runSchedule takes steps random steps and then lets the cluster recover. It returns the first broken rule.
+// runSchedule takes the given number of random steps and then lets the cluster recover. It returns the first violation.
 func runSchedule(pick func(n int) int, steps int) (err error) {
 	defer func() {
 		if fault := recover(); fault != nil {
@@ -61,7 +61,7 @@
 	}
 }
 
-// kind picks the next kind of step by the weights of this schedule.
+// randomStepKind picks the kind of the next step by the weights of this schedule.
 func (s *schedule) randomStepKind() int {
 	total := 0
 	for _, weight := range s.weights {
@@ -76,7 +76,7 @@
 	return 0
 }
 
-// network delivers the oldest packets, or loses, doubles or reorders one.
+// network delivers the oldest packets, or loses, duplicates or reorders one packet.
 func (s *schedule) network(kind int) {
 	if len(s.packets) == 0 {
 		return
@@ -108,7 +108,7 @@
 	}
 }
 
-// restart crashes a server, starts a crashed one, or does both at once.
+// restart crashes a server, starts a crashed server, or crashes and starts a server in one step.
 func (s *schedule) restart(h *host) {
 	if h.diskLost {
 		return
@@ -122,8 +122,8 @@
 	}
 }
 
-// partition cuts off one server, the leader, one direction of a link, or the link between the leader and
-// a server, which the others still reach.
+// partition isolates one server or the leader, blocks one direction between two servers, or blocks both directions between
+// the leader and a server that the others still reach. Otherwise, it ends all partitions.
 func (s *schedule) partition(h *host, kind int) {
 	leader := s.leading()
 	switch {
@@ -159,8 +159,8 @@
 	}
 }
 
-// loseDisk destroys a disk if the members are settled and no other one is missing: more than that, no
-// replication with three copies survives.
+// loseDisk destroys a disk if no membership change is pending and no other disk is lost. No replication with three copies
+// survives more than one lost disk.
 func (s *schedule) loseDisk(leader, h *host) {
 	if h.diskLost || len(s.hosts) >= 9 || leader.node.changePending() || len(leader.node.members.current().voters) < 3 ||
 		s.lostVoter(leader) != nil {
@@ -186,7 +186,7 @@
 	}
 }
 
-// recover ends all faults. A cluster whose majority survives then commits a new entry everywhere.
+// endFaults ends all faults and checks that the cluster then applies new entries on all members.
 func (s *schedule) endFaults() {
 	s.heal()
 	for _, h := range s.hosts {
@@ -211,7 +211,7 @@
 	}
 }
 
-// equal reports whether every member that has its disk applied the leader's whole log.
+// allApplied reports whether every member whose disk is not lost applied the leader's whole log.
 func (s *schedule) allApplied(leader *host) bool {
 	for _, server := range leader.node.Servers() {
 		if h := s.host(server.ID); !h.diskLost && (h.applied != leader.node.log.last() || h.digest != leader.digest) {
