--- a/state/jobrecorder/doc.go
+++ b/state/jobrecorder/doc.go
@@ -1,3 +1,4 @@
-// Package jobrecorder is the replicated state of the queues: the manifest in force, the recorded jobs and the agents that
-// may run tasks. Apply is deterministic: the same commands in the same order give the same state everywhere.
+// Package jobrecorder implements the replicated state of the queues: the current manifest, the recorded jobs and the
+// enrolled agents, which may run tasks. Apply is deterministic: the same commands in the same order give the same state on
+// every controller.
 package jobrecorder
--- a/state/jobrecorder/image.go
+++ b/state/jobrecorder/image.go
@@ -14,13 +14,13 @@
 	"oleandertally/core/specifier"
 )
 
-// maxImage bounds an encoded state, in bytes.
+// maxImage is the maximum size of an encoded state, in bytes.
 const maxImage = 96 << 20
 
-// ErrImage marks an encoded state that can't be used.
+// ErrImage marks errors about an encoded state that is damaged.
 var ErrImage = errors.New("jobrecorder: the encoded state of the queues is damaged")
 
-// Image returns the state as a message that does not change while later commands are applied.
+// Image returns a copy of the state as a message. Commands applied later do not change the message.
 func (r *Recorder) Image() *encoder.QueueImage {
 	image := &encoder.QueueImage{Manifest: encoder.EncodeManifest(r.manifest), Roster: r.EnrolledAgents(), Now: r.now.UnixNano()}
 	for _, id := range slices.Sorted(maps.Keys(r.jobs)) {
@@ -40,7 +40,8 @@
 		}
 		for _, task := range slices.SortedFunc(maps.Keys(record.failed), comparePositions) {
 			for _, run := range record.failed[task] {
-				encoded.Failures = append(encoded.Failures, &encoder.QueueEnd{Step: uint32(task.step), Index: uint32(task.index), Run: run, How: uint32(specifier.EndFailed)})
+				encoded.Failures = append(encoded.Failures,
+					&encoder.QueueEnd{Step: uint32(task.step), Index: uint32(task.index), Run: run, How: uint32(specifier.EndFailed)})
 			}
 		}
 		image.Jobs = append(image.Jobs, encoded)
@@ -48,13 +49,13 @@
 	return image
 }
 
-// Write writes an image. Equal states give equal bytes.
+// Write encodes an image to w. Equal states give equal bytes.
 func Write(w io.Writer, image *encoder.QueueImage) error {
 	_, err := protodelim.MarshalOptions{MarshalOptions: proto.MarshalOptions{Deterministic: true}}.MarshalTo(w, image)
 	return errors.Wrap(err, "jobrecorder: write the state of the queues")
 }
 
-// Read reads what Write wrote. A reader at its end gives the empty state.
+// Read decodes a state that Write encoded. An empty input gives the empty state.
 func Read(r protodelim.Reader, retention time.Duration) (*Recorder, error) {
 	recorder := New(retention)
 	image := &encoder.QueueImage{}
@@ -97,7 +98,7 @@
 	record.State = state
 	for step := range record.Done {
 		if step >= len(encoded.Done) || len(encoded.Done[step]) != len(record.Done[step]) {
-			return errors.Mark(errors.Newf("jobrecorder: job %q: step %d does not fit its tasks", job.ID, step), ErrImage)
+			return errors.Mark(errors.Newf("jobrecorder: job %q: the done tasks of step %d are missing or have the wrong length", job.ID, step), ErrImage)
 		}
 		for i, bit := range encoded.Done[step] {
 			if bit != 0 {
@@ -108,7 +109,8 @@
 	}
 	for _, end := range encoded.Failures {
 		if !record.hasTask(int(end.Step), int(end.Index)) {
-			return errors.Mark(errors.Newf("jobrecorder: job %q: task %d of step %d failed, which the job does not have", job.ID, end.Index, end.Step), ErrImage)
+			return errors.Mark(errors.Newf("jobrecorder: job %q: got a failed run of task %d of step %d, which the job does not have",
+				job.ID, end.Index, end.Step), ErrImage)
 		}
 		task := position{int(end.Step), int(end.Index)}
 		record.failed[task] = append(record.failed[task], end.Run)
--- a/state/jobrecorder/position.go
+++ b/state/jobrecorder/position.go
@@ -2,7 +2,7 @@
 
 import "cmp"
 
-// place names a task within its job.
+// position identifies a task within its job.
 type position struct {
 	step  int
 	index int
--- a/state/jobrecorder/record.go
+++ b/state/jobrecorder/record.go
@@ -7,15 +7,15 @@
 	"oleandertally/core/specifier"
 )
 
-// Record is a recorded job and what its tasks have come to.
+// Record is a recorded job with the results of its tasks.
 type Record struct {
 	Job   specifier.QueuedJob // without content and steps once it has ended
 	State specifier.QueueState
 	Done  [][]bool  // by step and task
-	Ended time.Time // on the log's clock; zero until then
+	Ended time.Time // by the log's clock; zero until the job has ended
 
 	remaining int                   // tasks that are not done
-	failed    map[position][]uint64 // runs that failed
+	failed    map[position][]uint64 // failed runs of each task
 }
 
 func newRecord(job specifier.QueuedJob) *Record {
@@ -26,7 +26,7 @@
 	return record
 }
 
-// holds reports whether the job has such a task.
+// hasTask reports whether the job has a task at this step and index.
 func (r *Record) hasTask(step, index int) bool {
 	return step >= 0 && step < len(r.Done) && index >= 0 && index < len(r.Done[step])
 }
@@ -34,7 +34,8 @@
 // Failures returns how many runs of the task have failed.
 func (r *Record) Failures(step, index int) int { return len(r.failed[position{step, index}]) }
 
-// ChangedBy reports whether the end of a run changes the record: the task is not done, and the run is not known to have failed.
+// ChangedBy reports whether the end of a run changes the record: the job has not ended, the task is not done, and no failure
+// of this run is recorded.
 func (r *Record) ChangedBy(end specifier.TaskEnd) bool {
 	return !r.State.Ended() && r.hasTask(end.Step, end.Index) && !r.Done[end.Step][end.Index] &&
 		!slices.Contains(r.failed[position{end.Step, end.Index}], end.Run)
--- a/state/jobrecorder/recorder.go
+++ b/state/jobrecorder/recorder.go
@@ -8,28 +8,28 @@
 	"oleandertally/core/specifier"
 )
 
-// Recorder applies committed commands. It is used by one goroutine.
+// Recorder applies committed commands to the state. It must be used by one goroutine only.
 type Recorder struct {
-	// Retention is how long an ended job is remembered.
+	// Retention is how long the record of an ended job is kept.
 	Retention time.Duration
 
-	now            time.Time // the log's clock, from time.Unix(0, 0)
+	now            time.Time // the log's clock, which starts at time.Unix(0, 0) and advances by commands
 	manifest       *specifier.Manifest
 	jobs           map[string]*Record
 	endedJobs      []string // IDs of ended jobs, oldest first
 	enrolledAgents map[string]bool
 }
 
-// New returns the empty state.
+// New returns a Recorder with the empty state.
 func New(retention time.Duration) *Recorder {
 	return &Recorder{Retention: retention, now: time.Unix(0, 0), manifest: &specifier.Manifest{},
 		jobs: make(map[string]*Record), enrolledAgents: make(map[string]bool)}
 }
 
-// Manifest returns the one in force. It must not be changed; Version is 0 before the first.
+// Manifest returns the current manifest, which must not be modified. Its Version is 0 before the first one is applied.
 func (r *Recorder) Manifest() *specifier.Manifest { return r.manifest }
 
-// Job returns the record of a job, or nil. It must not be changed.
+// Job returns the record of a job, or nil. The record must not be modified.
 func (r *Recorder) Job(id string) *Record { return r.jobs[id] }
 
 // OpenJobs returns the IDs of all jobs that have not ended, sorted.
@@ -75,8 +75,8 @@
 	}
 }
 
-// note counts an end of a task. The end of a run that has been counted, of a task that is done, or of a job that has ended changes
-// nothing: successive leaders may record the same end.
+// recordEnd records the end of a run. An end that is already recorded, or whose task is done or job has ended, changes
+// nothing, because successive leaders may record the same end.
 func (r *Recorder) recordEnd(end specifier.TaskEnd) {
 	record := r.jobs[end.Job]
 	if record == nil || !record.ChangedBy(end) {
@@ -98,7 +98,8 @@
 	}
 }
 
-// attempts returns how many runs of a task of the queue may fail. A queue that was removed keeps one.
+// maxAttempts returns after how many failed runs of one task a job of the queue fails. For a queue that was removed, it is
+// one.
 func (r *Recorder) maxAttempts(queue string) int {
 	settings, _ := r.manifest.Named(queue)
 	return max(settings.MaxAttempts, 1)
@@ -113,7 +114,7 @@
 	r.endedJobs = append(r.endedJobs, id)
 }
 
-// forget drops the jobs that ended long ago.
+// expire deletes the jobs that ended longer than Retention ago.
 func (r *Recorder) expire() {
 	for len(r.endedJobs) > 0 && r.jobs[r.endedJobs[0]].Ended.Add(r.Retention).Before(r.now) {
 		delete(r.jobs, r.endedJobs[0])
--- a/state/jobrecorder/recorder_test.go
+++ b/state/jobrecorder/recorder_test.go
@@ -13,10 +13,10 @@
 
 const retention = time.Minute
 
-// runs numbers the runs of end, which never repeats one.
+// lastRun is the number of the last run that recordEnd used. Each call uses a new number.
 var lastRun uint64
 
-// newRecorder returns a state with one queue and one accepted job of three tasks.
+// newRecorder returns a recorder with one queue and one accepted job of three tasks.
 func newRecorder() *Recorder {
 	recorder := New(retention)
 	recorder.Apply(specifier.QueueCommand{Manifest: &specifier.Manifest{Version: 5, Document: []byte("five"), Queues: []specifier.Queue{{Name: "q", MaxAttempts: 2}}}})
@@ -44,7 +44,7 @@
 }
 
 func TestJobs(t *testing.T) {
-	t.Run("complete only with every task", func(t *testing.T) { // guards against a partial answer
+	t.Run("complete only with every task", func(t *testing.T) { // guards against a job that completes before all its tasks are done
 		recorder := newRecorder()
 		assertState(t, recorder, specifier.JobQueued)
 		recordEnd(recorder, 0, 0, specifier.EndDone)
@@ -54,7 +54,7 @@
 		recordEnd(recorder, 0, 1, specifier.EndDone)
 		assertState(t, recorder, specifier.JobCompleted)
 	})
-	t.Run("failed after the attempts of its queue", func(t *testing.T) { // guards against attempts without end
+	t.Run("failed after the attempts of its queue", func(t *testing.T) { // guards against unlimited attempts
 		recorder := newRecorder()
 		recordEnd(recorder, 0, 0, specifier.EndFailed)
 		recordEnd(recorder, 0, 1, specifier.EndFailed)
@@ -62,7 +62,7 @@
 		recordEnd(recorder, 0, 0, specifier.EndFailed)
 		assertState(t, recorder, specifier.JobFailed)
 	})
-	t.Run("one failure of a run", func(t *testing.T) { // guards against an attempt that two leaders record and that counts twice
+	t.Run("one failure of a run", func(t *testing.T) { // guards against a failure that counts twice because two leaders record it
 		recorder := newRecorder()
 		recordRunEnd(recorder, 0, 0, 7, specifier.EndFailed)
 		recordRunEnd(recorder, 0, 0, 7, specifier.EndFailed)
@@ -77,19 +77,19 @@
 		recordEnd(recorder, 0, 0, specifier.EndDone)
 		assertState(t, recorder, specifier.JobCancelled)
 	})
-	t.Run("a second acceptance changes nothing", func(t *testing.T) { // guards against a resubmission that starts over
+	t.Run("a second acceptance changes nothing", func(t *testing.T) { // guards against a resubmission that restarts the job
 		recorder := newRecorder()
 		recordEnd(recorder, 0, 0, specifier.EndDone)
 		recorder.Apply(specifier.QueueCommand{Accept: job("a")})
 		assertState(t, recorder, specifier.JobRunning)
 	})
-	t.Run("ends of unknown tasks", func(t *testing.T) { // guards against a crash of every replica
+	t.Run("ends of unknown tasks", func(t *testing.T) { // guards against an index out of range, which would crash every replica
 		recorder := newRecorder()
 		recordEnd(recorder, 7, 0, specifier.EndDone)
 		recordEnd(recorder, 0, -1, specifier.EndDone)
 		assertState(t, recorder, specifier.JobQueued)
 	})
-	t.Run("forgotten after the retention", func(t *testing.T) { // guards against a state that grows without bound
+	t.Run("expired after the retention", func(t *testing.T) { // guards against a state that grows without bound
 		recorder := newRecorder()
 		recorder.Apply(specifier.QueueCommand{Cancel: "a"})
 		recorder.Apply(specifier.QueueCommand{Advance: retention, Enroll: "x"})
@@ -99,7 +99,7 @@
 	})
 }
 
-// Guards against an older manifest that replaces a newer one.
+// Guards against a manifest of an older or equal version that replaces the current one.
 func TestHighestManifestStays(t *testing.T) {
 	recorder := newRecorder()
 	for _, version := range []uint64{4, 5} {
@@ -108,7 +108,7 @@
 	}
 }
 
-// Guards against a snapshot that loses a part of the state.
+// Guards against a snapshot that loses a part of the state, and against a damaged snapshot that is accepted.
 func TestImage(t *testing.T) {
 	recorder := newRecorder()
 	recordEnd(recorder, 0, 1, specifier.EndFailed)
