--- a/state/transporter/appendentries.go
+++ b/state/transporter/appendentries.go
@@ -11,7 +11,7 @@
 	return m
 }
 
-// decodeAppendEntries checks that the entries are consecutive, which the replicator relies on.
+// decodeAppendEntries also checks that the entries are consecutive, because the replicator relies on it.
 func decodeAppendEntries(m *AppendEntries) (replicator.AppendEntries, error) {
 	message := replicator.AppendEntries{Round: m.GetRound(), PrevIndex: replicator.Index(m.GetPrevIndex()),
 		PrevTerm: replicator.Term(m.GetPrevTerm()), Commit: replicator.Index(m.GetCommit())}
--- a/state/transporter/entry.go
+++ b/state/transporter/entry.go
@@ -6,10 +6,10 @@
 	"oleandertally/state/replicator"
 )
 
-// EncodeEntry returns the bytes of one log entry, as the journal stores it.
+// EncodeEntry encodes one log entry in the form that the journal stores.
 func EncodeEntry(entry replicator.Entry) ([]byte, error) { return proto.Marshal(encodeEntry(entry)) }
 
-// DecodeEntry returns ErrMalformed for bytes that EncodeEntry did not make.
+// DecodeEntry decodes a log entry that EncodeEntry encoded. It returns ErrMalformed for invalid data.
 func DecodeEntry(data []byte) (replicator.Entry, error) {
 	var m Entry
 	if err := proto.Unmarshal(data, &m); err != nil {
--- a/state/transporter/envelope.go
+++ b/state/transporter/envelope.go
@@ -4,7 +4,7 @@
 	"oleandertally/state/replicator"
 )
 
-// EncodeEnvelope shares byte slices with envelope, which must not change afterwards.
+// EncodeEnvelope converts an envelope. The result shares byte slices with envelope, which must not be modified afterwards.
 func EncodeEnvelope(envelope replicator.Envelope) *Envelope {
 	m := &Envelope{From: encodeServerID(envelope.From), To: encodeServerID(envelope.To), Term: uint64(envelope.Term)}
 	switch message := envelope.Message.(type) {
@@ -26,7 +26,7 @@
 	return m
 }
 
-// DecodeEnvelope returns ErrMalformed with the field that is wrong.
+// DecodeEnvelope converts a received envelope. It returns ErrMalformed wrapped with the name of the invalid field.
 func DecodeEnvelope(m *Envelope) (replicator.Envelope, error) {
 	from, err := decodeServerID(m.GetFrom())
 	if err != nil {
--- a/state/transporter/generate.sh
+++ b/state/transporter/generate.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Regenerates the protobuf code. Needs protoc 3.21; the plugins are pinned in the tools module.
+# Regenerates the protobuf code. Requires protoc 3.21; the tools module pins the plugins' versions.
 set -e
 cd "$(dirname "$0")"
 bin=$(mktemp -d)
--- a/state/transporter/server.go
+++ b/state/transporter/server.go
@@ -6,7 +6,7 @@
 	"oleandertally/state/replicator"
 )
 
-// maxServers bounds the controllers of one cluster; at most 7 hosts are set aside for control.
+// maxServers is the maximum number of controllers in one cluster. At most 7 hosts are reserved for controllers.
 const maxServers = 15
 
 func encodeServers(servers []replicator.Server) []*Server {
@@ -32,12 +32,12 @@
 	return servers, nil
 }
 
-// EncodeServer copies every field.
+// EncodeServer converts a server.
 func EncodeServer(server replicator.Server) *Server {
 	return &Server{Id: encodeServerID(server.ID), Addr: server.Addr.String(), Voter: server.Voter, Replaces: encodeServerID(server.Replaces)}
 }
 
-// DecodeServer returns ErrMalformed with the field that is wrong.
+// DecodeServer converts a received server. It returns ErrMalformed wrapped with the name of the invalid field.
 func DecodeServer(m *Server) (replicator.Server, error) {
 	id, err := decodeServerID(m.GetId())
 	if err != nil {
--- a/state/transporter/serverid.go
+++ b/state/transporter/serverid.go
@@ -12,7 +12,7 @@
 	return &ServerID{Name: id.Name, Disk: id.Disk}
 }
 
-// decodeServerID accepts a missing identity as the zero one.
+// decodeServerID decodes a missing identity as the zero identity.
 func decodeServerID(m *ServerID) (replicator.ServerID, error) {
 	if m == nil {
 		return replicator.ServerID{}, nil
--- a/state/transporter/snapshot.go
+++ b/state/transporter/snapshot.go
@@ -6,12 +6,12 @@
 	"oleandertally/state/replicator"
 )
 
-// EncodeSnapshot returns the description of a snapshot, as its file stores it.
+// EncodeSnapshot encodes the description of a snapshot in the form that the snapshot file stores.
 func EncodeSnapshot(snapshot replicator.Snapshot) ([]byte, error) {
 	return proto.Marshal(encodeSnapshot(snapshot))
 }
 
-// DecodeSnapshot returns ErrMalformed for bytes that EncodeSnapshot did not make.
+// DecodeSnapshot decodes a description that EncodeSnapshot encoded. It returns ErrMalformed for invalid data.
 func DecodeSnapshot(data []byte) (replicator.Snapshot, error) {
 	var m Snapshot
 	if err := proto.Unmarshal(data, &m); err != nil {
