--- a/state/replicator/cluster_test.go
+++ b/state/replicator/cluster_test.go
@@ -7,36 +7,37 @@
 	"time"
 )
 
-// packet is a message on its way; a snapshot travels with the digest of its content.
+// packet is a message in transit. A snapshot is sent as the digest of its content.
 type packet struct {
 	envelope Envelope
 	content  *uint64
 }
 
-// cluster runs several servers in one goroutine and checks the safety rules after every step.
+// cluster runs several servers in one goroutine and checks the safety invariants after every step.
 type cluster struct {
-	settings Settings
-	random   *rand.Rand
-	now      time.Time
-	hosts    []*host
-	packets  []packet
-	blocked  map[[2]ServerID]bool
-	proposed uint64
-	refused  []Refused
-	rules    *rules
-	err      error
-}
-
-// testSettings leave the lease little room: with clocks that differ by 10% in rate it ends 50 ms before the election timeout.
+	settings   Settings
+	random     *rand.Rand
+	now        time.Time
+	hosts      []*host
+	packets    []packet
+	blocked    map[[2]ServerID]bool
+	proposed   uint64
+	refused    []Refused
+	invariants *invariants
+	err        error
+}
+
+// testSettings returns settings with a small safety margin: with clock rates that differ by 10%, the lease ends 50 ms before
+// the election timeout.
 func testSettings() Settings {
 	return Settings{Heartbeat: 100 * time.Millisecond, Lease: 400 * time.Millisecond, ElectionTimeout: 500 * time.Millisecond,
 		MaxEntry: 64, MaxAppend: 120, MaxInflight: 3, MaxPending: 1024, SnapshotEvery: 6, KeepEntries: 2}
 }
 
-// newCluster starts voters servers that bootstrap together.
+// newCluster starts a cluster in which the given number of voters bootstrap together.
 func newCluster(voters int, seed uint64, settings Settings) *cluster {
 	c := &cluster{settings: settings, random: rand.New(rand.NewPCG(seed, 1)), now: epoch.Add(time.Hour),
-		blocked: make(map[[2]ServerID]bool), rules: newRules()}
+		blocked: make(map[[2]ServerID]bool), invariants: newInvariants()}
 	var servers []Server
 	for range voters {
 		servers = append(servers, Server{ID: c.addHost(string(rune('a' + len(c.hosts)))).id, Voter: true})
@@ -50,44 +51,44 @@
 // addHost starts a server with an empty disk.
 func (c *cluster) addHost(name string) *host {
 	h := &host{id: ServerID{Name: name, Disk: uint64(len(c.hosts) + 1)}, disk: newDisk(),
-		offset: time.Duration(len(c.hosts)) * 7 * time.Minute, rate: []int{100, 105, 95, 103, 97}[len(c.hosts)%5]}
+		clockOffset: time.Duration(len(c.hosts)) * 7 * time.Minute, clockRate: []int{100, 105, 95, 103, 97}[len(c.hosts)%5]}
 	c.hosts = append(c.hosts, h)
-	c.start(h)
+	c.startHost(h)
 	return h
 }
 
-func (c *cluster) start(h *host) {
+func (c *cluster) startHost(h *host) {
 	h.up = true
 	h.node = &Node{Self: h.id, Settings: c.settings, Recovered: h.disk.recovered(),
 		Random: rand.New(rand.NewPCG(c.random.Uint64(), 2))}
 	if err := h.node.Check(); err != nil {
 		c.fail("%v: %v", h.id, err)
 	}
-	h.applied, h.led = h.disk.snapshot.Index, false
-	h.checked, h.digest = h.applied, h.disk.snapshots[h.applied]
+	h.applied, h.wasLeader = h.disk.snapshot.Index, false
+	h.checkedCommit, h.digest = h.applied, h.disk.snapshots[h.applied]
 	c.step(h, Started{})
 }
 
-// crash loses every write after the first kept ones.
+// crash stops a server. The first kept queued writes become durable, the others are lost.
 func (c *cluster) crash(h *host, kept int) {
 	_, err := h.disk.write(kept)
-	c.check(err)
+	c.recordError(err)
 	if restore, ok := h.disk.next().(Restore); ok && c.random.IntN(2) == 0 {
-		// The snapshot took the place of the old one, and the stored log was not reset.
+		// The crash interrupts the Restore: the snapshot is replaced, but the stored log is not reset.
 		h.disk.snapshot = restore.Snapshot
 	}
 	h.up, h.disk.queue, h.disk.saving = false, nil, nil
 }
 
-func (c *cluster) fail(format string, args ...any) { c.check(fmt.Errorf(format, args...)) }
+func (c *cluster) fail(format string, args ...any) { c.recordError(fmt.Errorf(format, args...)) }
 
-func (c *cluster) check(err error) {
+func (c *cluster) recordError(err error) {
 	if c.err == nil {
 		c.err = err
 	}
 }
 
-// step delivers an event to a server that is up, and the actions to its surroundings.
+// step delivers an event to a server that is up, and performs the resulting actions.
 func (c *cluster) step(h *host, event Event) {
 	if h.up && c.err == nil {
 		c.perform(h, h.node.Step(h.clock(c.now), event))
@@ -101,8 +102,8 @@
 }
 
 func (c *cluster) perform(h *host, actions []Action) {
-	// A commit is judged before the entries are applied and may be compacted.
-	c.check(c.rules.observe(h, c.hosts, c.now, actions))
+	// A commit is checked before its entries are applied, because they may be compacted afterwards.
+	c.recordError(c.invariants.checkStep(h, c.hosts, c.now, actions))
 	for _, action := range actions {
 		switch action := action.(type) {
 		case Persist, Append, Truncate, Compact:
@@ -110,7 +111,7 @@
 		case Restore:
 			h.disk.queue = append(h.disk.queue, action)
 			h.applied, h.digest = action.Snapshot.Index, h.disk.snapshots[action.Snapshot.Index]
-			c.check(c.rules.restored(h))
+			c.recordError(c.invariants.checkState(h))
 		case Send:
 			c.packets = append(c.packets, packet{envelope: action.Envelope})
 		case SendSnapshot:
@@ -119,21 +120,21 @@
 		case SaveSnapshot:
 			h.disk.saving, h.disk.digest = &action, h.digest
 		case Apply:
-			c.check(c.rules.apply(h, action.Entries))
+			c.recordError(c.invariants.applyEntries(h, action.Entries))
 		case Refused:
 			c.refused = append(c.refused, action)
 		}
 	}
 }
 
-// take removes a packet from the network.
-func (c *cluster) take(i int) packet {
+// removePacket removes a packet from the network and returns it.
+func (c *cluster) removePacket(i int) packet {
 	p := c.packets[i]
 	c.packets = append(c.packets[:i], c.packets[i+1:]...)
 	return p
 }
 
-// deliver hands a packet over, or loses it when the receiver is down or the link is blocked.
+// deliver delivers a packet, or loses it if the receiver is down or the connection is blocked.
 func (c *cluster) deliver(p packet) {
 	from, to := c.host(p.envelope.From), c.host(p.envelope.To)
 	arrives := to != nil && to.up && !c.blocked[[2]ServerID{from.id, to.id}]
@@ -160,7 +161,7 @@
 // sync makes the first count queued writes of h durable and reports them.
 func (c *cluster) sync(h *host, count int) {
 	last, err := h.disk.write(count)
-	c.check(err)
+	c.recordError(err)
 	if last > 0 {
 		c.step(h, Synced{Write: last})
 	}
@@ -168,11 +169,11 @@
 
 func (c *cluster) saveSnapshot(h *host) {
 	if h.up && h.disk.saving != nil {
-		c.step(h, SnapshotSaved{Index: h.disk.finishSnapshot()})
+		c.step(h, SnapshotSaved{Index: h.disk.completeSnapshot()})
 	}
 }
 
-// propose sends a fresh value to h.
+// propose proposes a new value to h.
 func (c *cluster) propose(h *host) {
 	c.proposed++
 	c.step(h, Propose{Ticket: Ticket(c.proposed), Data: binary.BigEndian.AppendUint64(nil, c.proposed)})
@@ -188,7 +189,7 @@
 	return nil
 }
 
-// advance moves the clock to the next deadline, but at most by limit, and expires what is due.
+// advance moves the clock to the next deadline, but at most by limit, and expires the servers whose deadline is due.
 func (c *cluster) advance(limit time.Duration) {
 	next := c.now.Add(limit)
 	for _, h := range c.hosts {
@@ -204,10 +205,10 @@
 			c.expire(h)
 		}
 	}
-	c.check(c.rules.leases(c.hosts, c.now))
+	c.recordError(c.invariants.checkLeases(c.hosts, c.now))
 }
 
-// drain delivers and syncs everything, in order, until nothing is under way.
+// drain delivers all packets and syncs all writes, in order, until none are left.
 func (c *cluster) drain() {
 	rounds := 0
 	for busy := true; busy && c.err == nil; rounds++ {
@@ -216,7 +217,7 @@
 		}
 		busy = len(c.packets) > 0
 		for n := len(c.packets); n > 0; n-- {
-			c.deliver(c.take(0))
+			c.deliver(c.removePacket(0))
 		}
 		for _, h := range c.hosts {
 			busy = busy || h.up && len(h.disk.queue) > 0
@@ -228,8 +229,9 @@
 	}
 }
 
-// run behaves orderly until done, but at most for limit. It returns whether done came true.
-func (c *cluster) run(limit time.Duration, done func() bool) bool {
+// runWithoutFaults runs the cluster without new faults until done returns true, but at most for limit. It reports whether
+// done returned true.
+func (c *cluster) runWithoutFaults(limit time.Duration, done func() bool) bool {
 	for end := c.now.Add(limit); c.err == nil; {
 		c.drain()
 		if done() {
--- a/state/replicator/disk.go
+++ b/state/replicator/disk.go
@@ -3,13 +3,13 @@
 import "github.com/cockroachdb/errors"
 
 func (n *Node) nextWrite() Write {
-	n.issued++
-	return n.issued
+	n.lastIssued++
+	return n.lastIssued
 }
 
 func (n *Node) persist() {
-	n.persisted = n.nextWrite()
-	n.emit(Persist{Write: n.persisted, State: n.state})
+	n.lastPersist = n.nextWrite()
+	n.emit(Persist{Write: n.lastPersist, State: n.state})
 }
 
 // appendEntries adds entries to the log in memory and on disk.
@@ -19,11 +19,11 @@
 		n.membersChanged()
 	}
 	write := n.nextWrite()
-	n.writes = append(n.writes, logWrite{write: write, last: n.log.last(), issued: n.now})
+	n.pendingWrites = append(n.pendingWrites, logWrite{write: write, last: n.log.last(), issuedAt: n.now})
 	n.emit(Append{Write: write, Entries: entries})
 }
 
-// truncate removes the entry at from and all later ones. Writes under way no longer count for them.
+// truncate removes the entry at from and all later ones. Pending writes no longer mark the removed entries as synced.
 func (n *Node) truncate(from Index) {
 	if from <= n.commit {
 		panic(errors.AssertionFailedf("log conflicts at index %d, committed up to %d", from, n.commit))
@@ -33,8 +33,8 @@
 		n.membersChanged()
 	}
 	n.synced = min(n.synced, from-1)
-	for i := range n.writes {
-		n.writes[i].last = min(n.writes[i].last, from-1)
+	for i := range n.pendingWrites {
+		n.pendingWrites[i].last = min(n.pendingWrites[i].last, from-1)
 	}
 	n.emit(Truncate{Write: n.nextWrite(), From: from})
 }
@@ -48,28 +48,28 @@
 	n.commit, n.applied = snapshot.Index, snapshot.Index
 	n.synced = 0
 	write := n.nextWrite()
-	n.writes = []logWrite{{write: write, last: snapshot.Index, issued: n.now}}
+	n.pendingWrites = []logWrite{{write: write, last: snapshot.Index, issuedAt: n.now}}
 	n.emit(Restore{Write: write, Snapshot: snapshot})
 }
 
-// sync notes that the disk actions up to write are durable, and releases what waited for them.
-func (n *Node) sync(write Write) {
-	n.durable = max(n.durable, min(write, n.issued))
-	for len(n.writes) > 0 && n.writes[0].write <= n.durable {
-		n.synced = n.writes[0].last
-		n.writes = n.writes[1:]
+// markDurable records that the disk actions up to write are durable, and sends the messages that waited for them.
+func (n *Node) markDurable(write Write) {
+	n.durable = max(n.durable, min(write, n.lastIssued))
+	for len(n.pendingWrites) > 0 && n.pendingWrites[0].write <= n.durable {
+		n.synced = n.pendingWrites[0].last
+		n.pendingWrites = n.pendingWrites[1:]
 	}
-	for len(n.held) > 0 && n.held[0].write <= n.durable {
-		n.emit(Send{n.held[0].envelope})
-		n.held = n.held[1:]
+	for len(n.deferred) > 0 && n.deferred[0].write <= n.durable {
+		n.emit(Send{n.deferred[0].envelope})
+		n.deferred = n.deferred[1:]
 	}
-	if n.role == Candidate && n.persisted <= n.durable {
+	if n.role == Candidate && n.lastPersist <= n.durable {
 		n.countVote(n.Self)
 	}
 }
 
-// apply hands over committed entries. A snapshot must not be ahead of the stored log, so once one is due,
-// nothing more is applied until the disk has caught up.
+// apply emits committed entries. A snapshot must not be ahead of the stored log, so once a snapshot is due, apply emits
+// only entries that are synced.
 func (n *Node) apply() {
 	limit := n.commit
 	if n.snapshotDue() {
@@ -90,7 +90,7 @@
 		return
 	}
 	term, _ := n.log.term(n.applied)
-	n.saving = Snapshot{Index: n.applied, Term: term, Servers: n.members.at(n.applied)}
+	n.saving = Snapshot{Index: n.applied, Term: term, Servers: n.members.serversAt(n.applied)}
 	n.emit(SaveSnapshot{Snapshot: n.saving})
 }
 
--- a/state/replicator/lead.go
+++ b/state/replicator/lead.go
@@ -5,39 +5,40 @@
 	"time"
 )
 
-// becomeLeader appends a blank entry: entries of earlier terms are committed only together with one of this term.
+// becomeLeader appends a blank entry, because entries of earlier terms are committed only together with one of this term.
 func (n *Node) becomeLeader() {
 	n.role, n.leader, n.votes = Leader, n.Self, nil
-	n.lead = &leadership{since: n.now, first: n.log.last() + 1}
+	n.lead = &leadership{since: n.now, firstIndex: n.log.last() + 1}
 	n.lead.rounds.begin(n.now, n.now)
 	n.lead.heartbeatAt = n.now.Add(n.Settings.Heartbeat)
 	n.lead.setServers(n.members.current().servers, n.Self, n.log.last()+1)
 	n.appendEntries([]Entry{{Index: n.log.last() + 1, Term: n.state.Term, Kind: Blank}})
 }
 
-// ready reports whether this server leads and has applied an entry of its term, and with it all earlier ones.
-func (n *Node) ready() bool { return n.role == Leader && n.applied >= n.lead.first }
+// ready reports whether this server leads and has applied the blank entry of its term, and thus all earlier entries.
+func (n *Node) ready() bool { return n.role == Leader && n.applied >= n.lead.firstIndex }
 
-// contact returns the start of the newest round that a majority acknowledged.
-func (n *Node) contact(now time.Time) time.Time {
+// quorumContact returns the start of the newest round that a majority acknowledged.
+func (n *Node) quorumContact(now time.Time) time.Time {
 	var times []time.Time
 	for _, id := range n.members.current().voters {
 		if id == n.Self {
 			times = append(times, now)
 		} else if peer := n.lead.peer(id); peer != nil {
-			times = append(times, peer.acked)
+			times = append(times, peer.ackedRoundStart)
 		}
 	}
 	return majority(times, time.Time.Compare)
 }
 
-// leaseEnd is measured from when the acknowledged messages were sent. Each server that acknowledged one
-// votes for nobody else for an election timeout from its arrival, which is longer and begins later.
-func (n *Node) leaseEnd(now time.Time) time.Time { return n.contact(now).Add(n.Settings.Lease) }
+// leaseEnd returns when the lease ends, measured from when the acknowledged messages were sent. A server that acknowledged
+// a message votes for no other candidate for an election timeout after the message arrived. That period is longer than the
+// lease and starts later, so the lease ends first.
+func (n *Node) leaseEnd(now time.Time) time.Time { return n.quorumContact(now).Add(n.Settings.Lease) }
 
-// quorumEnd is when a leader that hears from no majority gives up.
-func (n *Node) quorumEnd() time.Time {
-	contact := n.contact(n.now)
+// quorumDeadline returns when the leader steps down unless a majority acknowledges another message.
+func (n *Node) quorumDeadline() time.Time {
+	contact := n.quorumContact(n.now)
 	if contact.Before(n.lead.since) {
 		contact = n.lead.since
 	}
@@ -46,7 +47,7 @@
 
 func (n *Node) nextLeader() time.Time {
 	next := n.lead.heartbeatAt
-	for _, deadline := range []time.Time{n.quorumEnd(), n.lead.transferEnd} {
+	for _, deadline := range []time.Time{n.quorumDeadline(), n.lead.transferDeadline} {
 		if !deadline.IsZero() && deadline.Before(next) {
 			next = deadline
 		}
@@ -55,18 +56,18 @@
 }
 
 func (n *Node) expireLeader() {
-	if !n.quorumEnd().After(n.now) {
+	if !n.quorumDeadline().After(n.now) {
 		n.stepDown(ServerID{})
 		return
 	}
-	if end := n.lead.transferEnd; !end.IsZero() && !end.After(n.now) {
-		n.lead.transferEnd = time.Time{}
+	if deadline := n.lead.transferDeadline; !deadline.IsZero() && !deadline.After(n.now) {
+		n.lead.transferDeadline = time.Time{}
 	}
 	if n.lead.heartbeatAt.After(n.now) {
 		return
 	}
-	if target := n.best(); n.stalled() && !target.IsZero() {
-		n.handOver(target)
+	if target := n.bestSuccessor(); n.diskStalled() && !target.IsZero() {
+		n.transferLeadership(target)
 		return
 	}
 	n.lead.heartbeatAt = n.now.Add(n.Settings.Heartbeat)
@@ -76,22 +77,22 @@
 	}
 }
 
-// stalled reports whether the disk holds back a write for longer than an election takes. Proposals wait for the own disk, so a
-// leader whose disk hangs would stop the cluster although it still sends heartbeats.
-func (n *Node) stalled() bool {
-	return len(n.writes) > 0 && !n.now.Before(n.writes[0].issued.Add(n.Settings.ElectionTimeout))
+// diskStalled reports whether the oldest disk write has been pending for an election timeout or longer. Proposals wait for the
+// leader's own disk, so a leader with a hanging disk would stop the cluster although it still sends heartbeats.
+func (n *Node) diskStalled() bool {
+	return len(n.pendingWrites) > 0 && !n.now.Before(n.pendingWrites[0].issuedAt.Add(n.Settings.ElectionTimeout))
 }
 
-// heartbeat sends an empty message. While streaming it names the last entry sent, so that the loss of that entry
-// is noticed although nothing follows it.
+// heartbeat sends an AppendEntries without entries. To a streaming peer, the message names the last entry sent, so that
+// the peer detects the loss of that entry even if no other entry follows.
 func (n *Node) heartbeat(peer *peer) {
 	peer.paused = false
 	prev := peer.next - 1
-	term, held := n.log.term(prev)
+	term, found := n.log.term(prev)
 	switch {
-	case peer.state == probing && held:
-		return // replicate sends a probe
-	case peer.state == snapshotting || !held:
+	case peer.state == probing && found:
+		return // replicate sends a probe instead
+	case peer.state == snapshotting || !found:
 		prev, term = 0, 0
 	}
 	n.sendEntries(peer, prev, term, nil)
@@ -102,7 +103,7 @@
 		Commit: n.commit, Entries: entries})
 }
 
-// replicate sends each peer what it lacks, within the limits of messages in flight.
+// replicate sends each peer the entries that it lacks, within the limit of messages in flight.
 func (n *Node) replicate() {
 	for _, peer := range n.lead.peers {
 		for n.replicateTo(peer) {
@@ -110,18 +111,18 @@
 	}
 }
 
-// replicateTo sends one message and reports whether it sent one that more may follow.
+// replicateTo sends at most one message and reports whether another one may follow.
 func (n *Node) replicateTo(peer *peer) bool {
 	if peer.state == snapshotting || peer.state == probing && peer.paused {
 		return false
 	}
-	term, held := n.log.term(peer.next - 1)
-	if !held {
+	term, found := n.log.term(peer.next - 1)
+	if !found {
 		n.sendSnapshot(peer)
 		return false
 	}
 	if peer.state == probing {
-		// A probe is empty: it is repeated with every heartbeat for as long as the peer is away.
+		// A probe carries no entries because every heartbeat repeats it while the peer is unreachable.
 		peer.paused = true
 		n.sendEntries(peer, peer.next-1, term, nil)
 		return false
@@ -137,19 +138,19 @@
 }
 
 func (n *Node) sendSnapshot(peer *peer) {
-	peer.state, peer.inflight, peer.snapshot = snapshotting, nil, n.snapshot.Index
+	peer.state, peer.inflight, peer.snapshotIndex = snapshotting, nil, n.snapshot.Index
 	message := InstallSnapshot{Round: n.lead.rounds.current(), Snapshot: n.snapshot}
 	envelope := Envelope{From: n.Self, To: peer.id, Term: n.state.Term, Message: message}
 	n.emit(SendSnapshot{Envelope: envelope, Snapshot: n.snapshot})
 }
 
-// snapshotSent continues after the snapshot. After a failure the peer waits for the next heartbeat.
+// snapshotSent resumes replication after the snapshot. After a failed transfer, probing starts with the next heartbeat.
 func (n *Node) snapshotSent(event SnapshotSent) {
 	if n.role != Leader {
 		return
 	}
 	peer := n.lead.peer(event.To)
-	if peer == nil || peer.state != snapshotting || peer.snapshot != event.Index {
+	if peer == nil || peer.state != snapshotting || peer.snapshotIndex != event.Index {
 		return
 	}
 	if event.Failed {
@@ -165,22 +166,22 @@
 	if peer == nil || reply.Match > n.log.last() {
 		return
 	}
-	if sent := n.lead.rounds.sent(reply.Round); sent.After(peer.acked) {
-		peer.acked = sent
+	if start := n.lead.rounds.startOf(reply.Round); start.After(peer.ackedRoundStart) {
+		peer.ackedRoundStart = start
 	}
 	if !reply.Rejected {
 		peer.acknowledge(reply.Match)
 		return
 	}
 	peer.match = max(peer.match, reply.Match)
-	current := peer.state == streaming && reply.PrevIndex > peer.match ||
+	applicable := peer.state == streaming && reply.PrevIndex > peer.match ||
 		peer.state == probing && reply.PrevIndex == peer.next-1
-	if current {
-		peer.probe(n.log.agreement(reply.Hint, reply.HintTerm) + 1)
+	if applicable {
+		peer.probe(n.log.lastPossibleMatch(reply.Hint, reply.HintTerm) + 1)
 	}
 }
 
-// advanceCommit commits what a majority of voters holds on disk, this server's own copy included only once it is synced.
+// advanceCommit commits the entries that a majority of voters holds on disk. The leader's own copy counts only once synced.
 func (n *Node) advanceCommit() {
 	var matches []Index
 	for _, id := range n.members.current().voters {
@@ -191,12 +192,12 @@
 		}
 	}
 	index := majority(matches, cmp.Compare[Index])
-	if term, held := n.log.term(index); index <= n.commit || !held || term != n.state.Term {
+	if term, found := n.log.term(index); index <= n.commit || !found || term != n.state.Term {
 		return
 	}
 	for _, entry := range n.log.slice(n.commit+1, index) {
-		n.lead.waiting -= len(entry.Data)
+		n.lead.uncommittedBytes -= len(entry.Data)
 	}
-	n.lead.waiting = max(n.lead.waiting, 0)
+	n.lead.uncommittedBytes = max(n.lead.uncommittedBytes, 0)
 	n.commit = index
 }
