--- a/agent/leaseholder/leaseholder.go
+++ b/agent/leaseholder/leaseholder.go
@@ -77,9 +77,9 @@
 func (l *LeaseHolder) Step(now time.Time, event Event) []Action {
 	l.begin(now)
 	switch event := event.(type) {
-	case Linked:
+	case Connected:
 		l.link()
-	case Unlinked:
+	case Disconnected:
 		l.linked = false
 	case Ordered:
 		l.ordered(event.Order)
--- a/agent/leaseholder/leaseholder_test.go
+++ b/agent/leaseholder/leaseholder_test.go
@@ -23,7 +23,7 @@
 	start := time.Unix(1000, 0)
 	b := &bench{t: t, now: start, born: start.Add(-time.Hour),
 		holder: &LeaseHolder{Name: "agent", Incarnation: 1, GrantSpan: 1200 * time.Millisecond, HoldMost: time.Second, Began: start}}
-	b.step(Linked{})
+	b.step(Connected{})
 	b.step(Announced{Sequence: 1, Worker: specifier.LeasedWorker{ID: "w", Born: b.born, Capacity: specifier.Resources{MilliCores: 1000}}})
 	b.step(Ordered{specifier.LeaseOrder{Token: 1, Granted: b.holder.renewal}})
 	b.answerHolds(nil, nil)
--- a/agent/leaseholder/linked.go
+++ b/agent/leaseholder/linked.go
@@ -1,4 +1,4 @@
 package leaseholder
 
-// Linked tells that there is a stream to a leading controller.
-type Linked struct{}
+// Connected tells that there is a stream to a leading controller.
+type Connected struct{}
--- a/agent/leaseholder/unlinked.go
+++ b/agent/leaseholder/unlinked.go
@@ -1,4 +1,4 @@
 package leaseholder
 
-// Unlinked tells that the stream ended.
-type Unlinked struct{}
+// Disconnected tells that the stream ended.
+type Disconnected struct{}
--- a/agent/leaserunner/machine.go
+++ b/agent/leaserunner/machine.go
@@ -23,10 +23,10 @@
 		return m.wrap(m.holder.Step(now, leaseholder.Leave{}))
 	case e.box != nil:
 		m.box = e.box
-		return m.wrap(m.holder.Step(now, leaseholder.Linked{}))
+		return m.wrap(m.holder.Step(now, leaseholder.Connected{}))
 	case e.unlink:
 		m.box = nil
-		return m.wrap(m.holder.Step(now, leaseholder.Unlinked{}))
+		return m.wrap(m.holder.Step(now, leaseholder.Disconnected{}))
 	}
 	return m.wrap(m.holder.Step(now, e.control))
 }
--- a/local/simulator/fakeagent_test.go
+++ b/local/simulator/fakeagent_test.go
@@ -73,7 +73,7 @@
 func (a *fakeAgent) drop() {
 	a.unlink()
 	if a.machine != nil {
-		a.step(leaseholder.Unlinked{})
+		a.step(leaseholder.Disconnected{})
 	}
 }
 
@@ -100,7 +100,7 @@
 			lastStream++
 			a.stream, a.leader, a.term = lastStream, w.leaders[w.leading], w.leaders[w.leading].term
 			a.broken = false
-			a.step(leaseholder.Linked{})
+			a.step(leaseholder.Connected{})
 		}
 		a.seek()
 	})
