--- a/agent/leaseholder/leaseholder.go
+++ b/agent/leaseholder/leaseholder.go
@@ -81,7 +81,7 @@
 		l.link()
 	case Disconnected:
 		l.linked = false
-	case Ordered:
+	case OrderReceived:
 		l.ordered(event.Order)
 	case Announced:
 		l.announced(event)
--- a/agent/leaseholder/leaseholder_test.go
+++ b/agent/leaseholder/leaseholder_test.go
@@ -25,7 +25,7 @@
 		holder: &LeaseHolder{Name: "agent", Incarnation: 1, GrantSpan: 1200 * time.Millisecond, HoldMost: time.Second, Began: start}}
 	b.step(Connected{})
 	b.step(Announced{Sequence: 1, Worker: specifier.LeasedWorker{ID: "w", Born: b.born, Capacity: specifier.Resources{MilliCores: 1000}}})
-	b.step(Ordered{specifier.LeaseOrder{Token: 1, Granted: b.holder.renewal}})
+	b.step(OrderReceived{specifier.LeaseOrder{Token: 1, Granted: b.holder.renewal}})
 	b.answerHolds(nil, nil)
 	return b
 }
@@ -42,7 +42,7 @@
 }
 
 func (b *bench) order(run uint64) {
-	b.step(Ordered{specifier.LeaseOrder{Token: 1, Orders: run, Starts: []specifier.RunStart{{Key: key(run)}}}})
+	b.step(OrderReceived{specifier.LeaseOrder{Token: 1, Orders: run, Starts: []specifier.RunStart{{Key: key(run)}}}})
 }
 
 func key(run uint64) specifier.RunKey { return specifier.RunKey{Task: "job.0.0.0", Run: run} }
@@ -97,7 +97,7 @@
 	})
 	t.Run("of an earlier controller", func(t *testing.T) { // guards against two controllers that start the same task
 		b := newBench(t)
-		b.step(Ordered{specifier.LeaseOrder{Token: 5}})
+		b.step(OrderReceived{specifier.LeaseOrder{Token: 5}})
 		b.order(1)
 		must.SliceEmpty(t, find[Start](b.actions))
 	})
--- a/agent/leaseholder/ordered.go
+++ b/agent/leaseholder/ordered.go
@@ -2,5 +2,5 @@
 
 import "oleandertally/core/specifier"
 
-// Ordered is an order of the leading controller.
-type Ordered struct{ Order specifier.LeaseOrder }
+// OrderReceived is an order of the leading controller.
+type OrderReceived struct{ Order specifier.LeaseOrder }
--- a/agent/leaserunner/runner.go
+++ b/agent/leaserunner/runner.go
@@ -73,7 +73,7 @@
 			if message.Welcome != nil {
 				return nil
 			}
-			return r.mailbox.Send(ctx, event{control: leaseholder.Ordered{Order: encoder.DecodeLeaseOrder(message)}})
+			return r.mailbox.Send(ctx, event{control: leaseholder.OrderReceived{Order: encoder.DecodeLeaseOrder(message)}})
 		},
 		Unlinked: func(ctx context.Context, cause error) error {
 			r.Log.Warn().Str("Event", "LeaderLost").AnErr("Error", cause).Send()
--- a/local/simulator/fakeagent_test.go
+++ b/local/simulator/fakeagent_test.go
@@ -127,7 +127,7 @@
 	w.after(arrives.Sub(w.now), func() {
 		a.broken = a.broken || w.now.Before(a.cutUntil)
 		if a.life == life && a.leader == leader && a.stream == order.Stream && !a.broken {
-			a.step(leaseholder.Ordered{Order: order.Order})
+			a.step(leaseholder.OrderReceived{Order: order.Order})
 		}
 	})
 }
