--- a/agent/leaseholder/held.go
+++ b/agent/leaseholder/held.go
@@ -2,13 +2,13 @@
 
 import "oleandertally/core/specifier"
 
-// Held answers Hold.
-type Held struct {
+// PollResult answers Hold.
+type PollResult struct {
 	Answer
-	Look    bool // of a Hold with Look
+	Immediate    bool // of a Hold with Look
 	Token   uint64
 	Refused bool
 	Runs    []specifier.LeasedRun
 	Ends    []specifier.RunEnd
-	Whole   bool // Ends holds all that were not seen
+	EndsComplete   bool // Ends holds all that were not seen
 }
--- a/agent/leaseholder/holding.go
+++ b/agent/leaseholder/holding.go
@@ -12,26 +12,26 @@
 
 // hold extends the leases as far as the grant allows.
 func (l *LeaseHolder) hold() {
-	hold := Hold{Token: l.workerToken(), Seen: l.noted, Wait: holdWait, Worker: l.WorkerID()}
+	hold := Poll{Token: l.workerToken(), Acknowledged: l.noted, Wait: holdWait, WorkerID: l.WorkerID()}
 	if !l.clock.known() || len(l.ends) > 0 {
 		hold.Wait = 0
 	}
 	if l.clock.known() && l.now.Before(l.grantEnd) && l.now.Before(l.answered.Add(looksOnly)) {
-		hold.Until = l.lease()
-		l.until = max(l.until, hold.Until)
+		hold.LeaseEnd = l.lease()
+		l.until = max(l.until, hold.LeaseEnd)
 	}
 	l.holding, l.pause = true, time.Time{}
 	l.emit(hold)
 }
 
 // held takes over what the worker lists.
-func (l *LeaseHolder) held(event Held) {
-	if !event.Look {
+func (l *LeaseHolder) held(event PollResult) {
+	if !event.Immediate {
 		l.holding = false
 		l.holdAt = l.now
 	}
 	if !l.meet(event.Answer) || event.Refused || event.Other {
-		if !event.Look {
+		if !event.Immediate {
 			if l.unheld++; l.unheld >= holdsAtOnce {
 				l.holdAt = l.now.Add(holdAgain)
 			}
@@ -55,7 +55,7 @@
 	if settles {
 		l.tell()
 	}
-	if len(l.ends) > 0 && !event.Look {
+	if len(l.ends) > 0 && !event.Immediate {
 		l.pause = l.now.Add(noteWithin)
 		l.holdAt = l.pause
 	}
@@ -117,7 +117,7 @@
 }
 
 // takeRuns compares what runs at the worker with what the agent holds.
-func (l *LeaseHolder) takeRuns(event Held) {
+func (l *LeaseHolder) takeRuns(event PollResult) {
 	listed := make(map[specifier.RunKey]bool, len(event.Runs))
 	for _, each := range event.Runs {
 		listed[each.Key] = true
@@ -156,10 +156,10 @@
 }
 
 // missing handles a run that the worker did not list.
-func (l *LeaseHolder) missing(run *heldRun, event Held) {
+func (l *LeaseHolder) missing(run *heldRun, event PollResult) {
 	switch run.state {
 	case runRunning:
-		if event.Whole && run.confirmed.Before(event.Asked) {
+		if event.EndsComplete && run.confirmed.Before(event.Asked) {
 			l.drop(run, specifier.EndLapsed)
 		}
 	case runUnanswered:
--- a/agent/leaseholder/leaseholder.go
+++ b/agent/leaseholder/leaseholder.go
@@ -91,7 +91,7 @@
 		l.started(event)
 	case Stopped:
 		l.stopped(event)
-	case Held:
+	case PollResult:
 		l.held(event)
 	case Leave:
 		l.leaving = true
--- a/agent/leaseholder/leaseholder_test.go
+++ b/agent/leaseholder/leaseholder_test.go
@@ -36,8 +36,8 @@
 
 // answerHolds answers what was asked in the last step.
 func (b *bench) answerHolds(runs []specifier.LeasedRun, ends []specifier.RunEnd) {
-	for _, hold := range find[Hold](b.actions) {
-		b.step(Held{Answer: b.answer(), Look: hold.Look, Token: hold.Token, Whole: true, Runs: runs, Ends: ends})
+	for _, hold := range find[Poll](b.actions) {
+		b.step(PollResult{Answer: b.answer(), Immediate: hold.Immediate, Token: hold.Token, EndsComplete: true, Runs: runs, Ends: ends})
 	}
 }
 
@@ -77,7 +77,7 @@
 	b.order(1)
 	starts := find[Start](b.actions)
 	must.SliceLen(t, 1, starts)
-	left := starts[0].Until - b.now.Sub(b.born)
+	left := starts[0].LeaseEnd - b.now.Sub(b.born)
 	must.LessEq(t, 300*time.Millisecond, left)
 }
 
@@ -108,9 +108,9 @@
 	b := newBench(t)
 	b.order(1)
 	b.step(Started{Answer: Answer{Asked: b.now, Lost: true}, Key: key(1)})
-	looks := find[Hold](b.actions)
+	looks := find[Poll](b.actions)
 	must.SliceLen(t, 1, looks)
-	must.True(t, looks[0].Look)
+	must.True(t, looks[0].Immediate)
 	b.answerHolds(nil, nil)
 	must.SliceLen(t, 1, find[Stop](b.actions))
 	must.False(t, b.holder.Idle())
@@ -126,9 +126,9 @@
 func TestLostHoldIsRepeatedAtOnce(t *testing.T) {
 	b := newBench(t)
 	must.True(t, b.holder.holding)
-	b.step(Held{Answer: Answer{Asked: b.now, Lost: true}})
-	must.SliceLen(t, 1, find[Hold](b.actions))
-	must.LessEq(t, 100*time.Millisecond, find[Hold](b.actions)[0].Wait)
+	b.step(PollResult{Answer: Answer{Asked: b.now, Lost: true}})
+	must.SliceLen(t, 1, find[Poll](b.actions))
+	must.LessEq(t, 100*time.Millisecond, find[Poll](b.actions)[0].Wait)
 }
 
 // Guards against work that a reborn worker takes for its own although it was meant for its former life.
@@ -136,7 +136,7 @@
 	b := newBench(t)
 	before := b.holder.workerToken()
 	b.born = b.now
-	b.step(Held{Answer: b.answer(), Token: before, Whole: true})
+	b.step(PollResult{Answer: b.answer(), Token: before, EndsComplete: true})
 	must.Greater(t, before, b.holder.workerToken())
 	must.False(t, b.holder.settled())
 }
--- a/agent/leaseholder/runs.go
+++ b/agent/leaseholder/runs.go
@@ -30,7 +30,7 @@
 	until := l.lease()
 	l.until = max(l.until, until)
 	l.runs[start.Key] = &heldRun{LeasedRun: specifier.LeasedRun{Key: start.Key, Resources: start.Resources, Saved: start.Saved}, until: until}
-	l.emit(Start{Start: start, Token: l.workerToken(), Until: until, Worker: l.worker.ID})
+	l.emit(Start{Start: start, Token: l.workerToken(), LeaseEnd: until, WorkerID: l.worker.ID})
 }
 
 func (l *LeaseHolder) refuse(key specifier.RunKey, how specifier.EndKind) {
@@ -69,7 +69,7 @@
 	if run.state == runStarting {
 		return
 	}
-	l.emit(Stop{Key: run.Key, Token: l.workerToken(), Worker: l.WorkerID()})
+	l.emit(Stop{Key: run.Key, Token: l.workerToken(), WorkerID: l.WorkerID()})
 }
 
 // stopped handles the answer to a stop. After it the run can't start any more, and a look shows whether it did.
@@ -89,5 +89,5 @@
 
 // look asks the worker at once what it runs.
 func (l *LeaseHolder) look() {
-	l.emit(Hold{Token: l.workerToken(), Seen: l.noted, Look: true, Worker: l.WorkerID()})
+	l.emit(Poll{Token: l.workerToken(), Acknowledged: l.noted, Immediate: true, WorkerID: l.WorkerID()})
 }
--- a/agent/leaseholder/start.go
+++ b/agent/leaseholder/start.go
@@ -10,6 +10,6 @@
 type Start struct {
 	Start  specifier.RunStart
 	Token  uint64
-	Until  time.Duration // end of the lease on the worker's clock
-	Worker string        // ID
+	LeaseEnd  time.Duration // end of the lease on the worker's clock
+	WorkerID string        // ID
 }
--- a/agent/leaseholder/stop.go
+++ b/agent/leaseholder/stop.go
@@ -6,5 +6,5 @@
 type Stop struct {
 	Key    specifier.RunKey
 	Token  uint64
-	Worker string
+	WorkerID string
 }
--- a/agent/leaserunner/runner.go
+++ b/agent/leaserunner/runner.go
@@ -137,8 +137,8 @@
 		r.call(startWithin, func(ctx context.Context) leaseholder.Event { return r.Worker.Start(ctx, control) })
 	case leaseholder.Stop:
 		r.call(stopWithin, func(ctx context.Context) leaseholder.Event { return r.Worker.Stop(ctx, control) })
-	case leaseholder.Hold:
-		r.call(control.Wait+holdWithin, func(ctx context.Context) leaseholder.Event { return r.Worker.Hold(ctx, control) })
+	case leaseholder.Poll:
+		r.call(control.Wait+holdWithin, func(ctx context.Context) leaseholder.Event { return r.Worker.Poll(ctx, control) })
 	case leaseholder.Note:
 		r.logNote(control)
 	}
--- a/agent/leaserunner/worker.go
+++ b/agent/leaserunner/worker.go
@@ -11,5 +11,5 @@
 type Worker interface {
 	Start(ctx context.Context, start leaseholder.Start) leaseholder.Started
 	Stop(ctx context.Context, stop leaseholder.Stop) leaseholder.Stopped
-	Hold(ctx context.Context, hold leaseholder.Hold) leaseholder.Held
+	Poll(ctx context.Context, hold leaseholder.Poll) leaseholder.PollResult
 }
--- a/local/simulator/fakeagent_test.go
+++ b/local/simulator/fakeagent_test.go
@@ -149,7 +149,7 @@
 			a.worker.start(action, answer)
 		case leaseholder.Stop:
 			a.worker.stop(action, answer)
-		case leaseholder.Hold:
+		case leaseholder.Poll:
 			a.worker.hold(action, answer)
 		case leaseholder.Note:
 			w.tell("%s: %s task=%s run=%d %s", a.name, action.Event, action.Task, action.Run, action.Detail)
--- a/local/simulator/fakeworker_test.go
+++ b/local/simulator/fakeworker_test.go
@@ -180,11 +180,11 @@
 		case !f.raise(call.Token):
 			refuse(specifier.EndRefusedFence)
 			return
-		case call.Until <= f.clock():
+		case call.LeaseEnd <= f.clock():
 			refuse(specifier.EndRefusedLate)
 			return
 		}
-		f.extend(call.Until)
+		f.extend(call.LeaseEnd)
 		if f.runs[key] == nil {
 			if key.Run <= f.highest[key.Task] {
 				refuse(specifier.EndRefusedOld)
@@ -240,22 +240,22 @@
 	})
 }
 
-func (f *fakeWorker) hold(call leaseholder.Hold, answer func(leaseholder.Event)) {
+func (f *fakeWorker) hold(call leaseholder.Poll, answer func(leaseholder.Event)) {
 	asked := f.world.now
 	lost := func(a leaseholder.Answer) {
-		answer(leaseholder.Held{Answer: a, Look: call.Look, Token: call.Token})
+		answer(leaseholder.PollResult{Answer: a, Immediate: call.Immediate, Token: call.Token})
 	}
 	f.call(call.Wait+callBound, lost, func(respond func(func())) {
 		if !f.raise(call.Token) {
 			respond(func() {
-				answer(leaseholder.Held{Answer: f.answer(asked), Look: call.Look, Token: call.Token, Refused: true})
+				answer(leaseholder.PollResult{Answer: f.answer(asked), Immediate: call.Immediate, Token: call.Token, Refused: true})
 			})
 			return
 		}
-		f.extend(call.Until)
-		f.see(call.Seen)
+		f.extend(call.LeaseEnd)
+		f.see(call.Acknowledged)
 		list := func() {
-			held := leaseholder.Held{Answer: f.answer(asked), Look: call.Look, Token: call.Token, Whole: true, Ends: append([]specifier.RunEnd(nil), f.ends...)}
+			held := leaseholder.PollResult{Answer: f.answer(asked), Immediate: call.Immediate, Token: call.Token, EndsComplete: true, Ends: append([]specifier.RunEnd(nil), f.ends...)}
 			for key := range f.runs {
 				held.Runs = append(held.Runs, specifier.LeasedRun{Key: key})
 			}
