--- a/agent/leaseholder/holding.go
+++ b/agent/leaseholder/holding.go
@@ -30,7 +30,7 @@
 		l.holding = false
 		l.holdAt = l.now
 	}
-	if !l.meet(event.Answer) || event.Refused || event.Other {
+	if !l.meet(event.Answer) || event.Refused || event.OtherIncarnation {
 		if !event.Immediate {
 			if l.unheld++; l.unheld >= holdsAtOnce {
 				l.holdAt = l.now.Add(holdAgain)
@@ -39,7 +39,7 @@
 				l.holdAt = l.now.Add(silentAgain)
 			}
 		} else {
-			l.stopUnanswered(event.Asked)
+			l.stopUnanswered(event.CalledAt)
 		}
 		return
 	}
@@ -91,11 +91,11 @@
 // meet takes over the clock of an answer and notices a new life of the worker. It reports whether there was an answer, and of the
 // newest life.
 func (l *LeaseHolder) meet(answer Answer) bool {
-	if answer.Lost || answer.Born.Before(l.born) && !answer.Born.IsZero() {
+	if answer.Lost || answer.StartedAt.Before(l.born) && !answer.StartedAt.IsZero() {
 		return false
 	}
-	if !answer.Born.IsZero() && !answer.Born.Equal(l.born) {
-		l.reborn(answer.Born)
+	if !answer.StartedAt.IsZero() && !answer.StartedAt.Equal(l.born) {
+		l.reborn(answer.StartedAt)
 	}
 	l.clock.read(answer.Clock, l.now)
 	return true
@@ -126,7 +126,7 @@
 			if l.endedBefore(each.Key) {
 				continue
 			}
-			run = &heldRun{LeasedRun: each, confirmed: event.Asked}
+			run = &heldRun{LeasedRun: each, confirmed: event.CalledAt}
 			l.runs[each.Key] = run
 			l.emit(Note{Event: "RunFound", Task: each.Key.Task, Run: each.Key.Run})
 		}
@@ -159,11 +159,11 @@
 func (l *LeaseHolder) missing(run *heldRun, event PollResult) {
 	switch run.state {
 	case runRunning:
-		if event.EndsComplete && run.confirmed.Before(event.Asked) {
+		if event.EndsComplete && run.confirmed.Before(event.CalledAt) {
 			l.drop(run, specifier.EndLapsed)
 		}
 	case runUnanswered:
-		if !run.stopped.IsZero() && run.stopped.Before(event.Asked) || event.Clock > run.until {
+		if !run.stopped.IsZero() && run.stopped.Before(event.CalledAt) || event.Clock > run.until {
 			l.drop(run, specifier.EndUnanswered)
 		} else if !run.stopping {
 			l.stop(run)
--- a/agent/leaseholder/leaseholder_test.go
+++ b/agent/leaseholder/leaseholder_test.go
@@ -32,7 +32,7 @@
 
 func (b *bench) step(event Event) { b.actions = b.holder.Step(b.now, event) }
 
-func (b *bench) answer() Answer { return Answer{Asked: b.now, Clock: b.now.Sub(b.born), Born: b.born} }
+func (b *bench) answer() Answer { return Answer{CalledAt: b.now, Clock: b.now.Sub(b.born), StartedAt: b.born} }
 
 // answerHolds answers what was asked in the last step.
 func (b *bench) answerHolds(runs []specifier.LeasedRun, ends []specifier.RunEnd) {
@@ -107,7 +107,7 @@
 func TestUnansweredStart(t *testing.T) {
 	b := newBench(t)
 	b.order(1)
-	b.step(Started{Answer: Answer{Asked: b.now, Lost: true}, Key: key(1)})
+	b.step(Started{Answer: Answer{CalledAt: b.now, Lost: true}, Key: key(1)})
 	looks := find[Poll](b.actions)
 	must.SliceLen(t, 1, looks)
 	must.True(t, looks[0].Immediate)
@@ -126,7 +126,7 @@
 func TestLostHoldIsRepeatedAtOnce(t *testing.T) {
 	b := newBench(t)
 	must.True(t, b.holder.holding)
-	b.step(PollResult{Answer: Answer{Asked: b.now, Lost: true}})
+	b.step(PollResult{Answer: Answer{CalledAt: b.now, Lost: true}})
 	must.SliceLen(t, 1, find[Poll](b.actions))
 	must.LessEq(t, 100*time.Millisecond, find[Poll](b.actions)[0].Wait)
 }
--- a/agent/leaseholder/runs.go
+++ b/agent/leaseholder/runs.go
@@ -49,12 +49,12 @@
 	switch {
 	case event.Lost:
 		run.state = runUnanswered
-		l.emit(Note{Event: "StartUnanswered", Task: event.Key.Task, Run: event.Key.Run, Age: l.now.Sub(event.Asked)})
+		l.emit(Note{Event: "StartUnanswered", Task: event.Key.Task, Run: event.Key.Run, Age: l.now.Sub(event.CalledAt)})
 		l.look()
 	case event.Refused:
 		delete(l.runs, event.Key)
-		l.emit(Note{Event: "StartRefused", Task: event.Key.Task, Run: event.Key.Run, Detail: event.How.String()})
-		l.refuse(event.Key, event.How)
+		l.emit(Note{Event: "StartRefused", Task: event.Key.Task, Run: event.Key.Run, Detail: event.Kind.String()})
+		l.refuse(event.Key, event.Kind)
 	default:
 		run.state, run.confirmed = runRunning, l.now
 		if run.stopping {
@@ -80,7 +80,7 @@
 		return
 	}
 	run.stopAgain = l.now.Add(holdAgain)
-	if !met || event.Refused || event.Other {
+	if !met || event.Refused || event.OtherIncarnation {
 		return
 	}
 	run.stopped = l.now
--- a/agent/leaseholder/started.go
+++ b/agent/leaseholder/started.go
@@ -7,5 +7,5 @@
 	Answer
 	Key     specifier.RunKey
 	Refused bool
-	How     specifier.EndKind // when refused
+	Kind     specifier.EndKind // when refused
 }
--- a/local/simulator/fakeworker_test.go
+++ b/local/simulator/fakeworker_test.go
@@ -87,7 +87,7 @@
 }
 
 func (f *fakeWorker) answer(asked time.Time) leaseholder.Answer {
-	return leaseholder.Answer{Asked: asked, Clock: f.clock(), Born: f.born}
+	return leaseholder.Answer{CalledAt: asked, Clock: f.clock(), StartedAt: f.born}
 }
 
 // call carries out a call now, late, or never, and passes its answer on or loses it.
@@ -96,7 +96,7 @@
 	w.after(within, func() {
 		if !done {
 			done = true
-			lost(leaseholder.Answer{Asked: asked, Lost: true})
+			lost(leaseholder.Answer{CalledAt: asked, Lost: true})
 		}
 	})
 	deaf := w.fault(lostAnswers)
@@ -174,7 +174,7 @@
 	lost := func(a leaseholder.Answer) { answer(leaseholder.Started{Answer: a, Key: key}) }
 	f.call(callBound, lost, func(respond func(func())) {
 		refuse := func(how specifier.EndKind) {
-			respond(func() { answer(leaseholder.Started{Answer: f.answer(asked), Key: key, Refused: true, How: how}) })
+			respond(func() { answer(leaseholder.Started{Answer: f.answer(asked), Key: key, Refused: true, Kind: how}) })
 		}
 		switch {
 		case !f.raise(call.Token):
