--- a/agent/leaseholder/holding.go
+++ b/agent/leaseholder/holding.go
@@ -64,7 +64,7 @@
 // reborn forgets what an earlier life of the worker ran.
 func (l *LeaseHolder) reborn(born time.Time) {
 	if !l.born.IsZero() {
-		l.emit(Note{Event: "WorkerReborn", Detail: l.WorkerID(), Count: len(l.runs)})
+		l.emit(LogEvent{Event: "WorkerReborn", Detail: l.WorkerID(), Count: len(l.runs)})
 	}
 	l.born = born
 	l.lives++
@@ -128,7 +128,7 @@
 			}
 			run = &heldRun{LeasedRun: each, confirmed: event.CalledAt}
 			l.runs[each.Key] = run
-			l.emit(Note{Event: "RunFound", Task: each.Key.Task, Run: each.Key.Run})
+			l.emit(LogEvent{Event: "RunFound", Task: each.Key.Task, Run: each.Key.Run})
 		}
 		run.Saved = each.Saved
 		if run.state != runRunning {
@@ -183,7 +183,7 @@
 // drop forgets a run that is gone without an end.
 func (l *LeaseHolder) drop(run *heldRun, how specifier.EndKind) {
 	delete(l.runs, run.Key)
-	l.emit(Note{Event: "RunGone", Task: run.Key.Task, Run: run.Key.Run, Detail: how.String()})
+	l.emit(LogEvent{Event: "RunGone", Task: run.Key.Task, Run: run.Key.Run, Detail: how.String()})
 	l.refuse(run.Key, how)
 }
 
@@ -201,7 +201,7 @@
 
 // lapsed drops every run: their leases have ended.
 func (l *LeaseHolder) lapsed() {
-	l.emit(Note{Event: "LeasesEnded", Age: l.now.Sub(l.answered), Count: len(l.runs)})
+	l.emit(LogEvent{Event: "LeasesEnded", Age: l.now.Sub(l.answered), Count: len(l.runs)})
 	for _, run := range l.sorted() {
 		if run.state != runStarting {
 			l.drop(run, specifier.EndLapsed)
--- a/agent/leaseholder/note.go
+++ b/agent/leaseholder/note.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Note is one decision for the log.
-type Note struct {
+// LogEvent is one decision for the log.
+type LogEvent struct {
 	Event  string
 	Task   string
 	Run    uint64
--- a/agent/leaseholder/presence.go
+++ b/agent/leaseholder/presence.go
@@ -13,7 +13,7 @@
 	draining := l.worker != nil && l.worker.Draining
 	l.worker, l.sequence = &worker, event.Sequence
 	if first {
-		l.emit(Note{Event: "WorkerAnnounced", Detail: worker.ID})
+		l.emit(LogEvent{Event: "WorkerAnnounced", Detail: worker.ID})
 		l.answered = l.now
 	}
 	if !worker.Born.Equal(l.born) {
@@ -37,7 +37,7 @@
 	if l.worker == nil || l.worker.ID != id {
 		return
 	}
-	l.emit(Note{Event: "WorkerDeparted", Detail: id, Count: len(l.runs)})
+	l.emit(LogEvent{Event: "WorkerDeparted", Detail: id, Count: len(l.runs)})
 	gone := *l.worker
 	gone.Draining = true
 	l.worker, l.changed = &gone, true
--- a/agent/leaseholder/runs.go
+++ b/agent/leaseholder/runs.go
@@ -18,12 +18,12 @@
 		return
 	}
 	if l.worker == nil || l.worker.Draining || l.leaving || !l.clock.known() || !l.now.Before(l.grantEnd) {
-		l.emit(Note{Event: "StartRefused", Task: start.Key.Task, Run: start.Key.Run, Detail: "no grant, or the worker leaves"})
+		l.emit(LogEvent{Event: "StartRefused", Task: start.Key.Task, Run: start.Key.Run, Detail: "no grant, or the worker leaves"})
 		l.refuse(start.Key, specifier.EndRefusedLate)
 		return
 	}
 	if !l.now.Before(l.answered.Add(looksOnly)) {
-		l.emit(Note{Event: "StartRefused", Task: start.Key.Task, Run: start.Key.Run, Detail: "the worker does not answer", Age: l.now.Sub(l.answered)})
+		l.emit(LogEvent{Event: "StartRefused", Task: start.Key.Task, Run: start.Key.Run, Detail: "the worker does not answer", Age: l.now.Sub(l.answered)})
 		l.refuse(start.Key, specifier.EndRefusedSick)
 		return
 	}
@@ -49,11 +49,11 @@
 	switch {
 	case event.Lost:
 		run.state = runUnanswered
-		l.emit(Note{Event: "StartUnanswered", Task: event.Key.Task, Run: event.Key.Run, Age: l.now.Sub(event.CalledAt)})
+		l.emit(LogEvent{Event: "StartUnanswered", Task: event.Key.Task, Run: event.Key.Run, Age: l.now.Sub(event.CalledAt)})
 		l.look()
 	case event.Refused:
 		delete(l.runs, event.Key)
-		l.emit(Note{Event: "StartRefused", Task: event.Key.Task, Run: event.Key.Run, Detail: event.Kind.String()})
+		l.emit(LogEvent{Event: "StartRefused", Task: event.Key.Task, Run: event.Key.Run, Detail: event.Kind.String()})
 		l.refuse(event.Key, event.Kind)
 	default:
 		run.state, run.confirmed = runRunning, l.now
--- a/agent/leaserunner/runner.go
+++ b/agent/leaserunner/runner.go
@@ -40,7 +40,7 @@
 	HoldMost    time.Duration // longest lease that the worker gives
 	Clock       func() time.Time
 	Log         zerolog.Logger
-	Noted       func(leaseholder.Note) // told of each decision; must not block; nil for nobody
+	Logged       func(leaseholder.LogEvent) // told of each decision; must not block; nil for nobody
 
 	mailbox *looper.Mailbox[event]
 	seeker  *locator.Locator[*encoder.QueueOrder, *encoder.QueueReport]
@@ -139,7 +139,7 @@
 		r.call(stopWithin, func(ctx context.Context) leaseholder.Event { return r.Worker.Stop(ctx, control) })
 	case leaseholder.Poll:
 		r.call(control.Wait+holdWithin, func(ctx context.Context) leaseholder.Event { return r.Worker.Poll(ctx, control) })
-	case leaseholder.Note:
+	case leaseholder.LogEvent:
 		r.logNote(control)
 	}
 }
@@ -153,9 +153,9 @@
 	})
 }
 
-func (r *Runner) logNote(note leaseholder.Note) {
-	if r.Noted != nil {
-		r.Noted(note)
+func (r *Runner) logNote(note leaseholder.LogEvent) {
+	if r.Logged != nil {
+		r.Logged(note)
 	}
 	line := r.Log.Info().Str("Event", note.Event)
 	if note.Task != "" {
--- a/local/simulator/fakeagent_test.go
+++ b/local/simulator/fakeagent_test.go
@@ -151,7 +151,7 @@
 			a.worker.stop(action, answer)
 		case leaseholder.Poll:
 			a.worker.hold(action, answer)
-		case leaseholder.Note:
+		case leaseholder.LogEvent:
 			w.tell("%s: %s task=%s run=%d %s", a.name, action.Event, action.Task, action.Run, action.Detail)
 		}
 	}
