--- a/agent/leaseholder/holding.go
+++ b/agent/leaseholder/holding.go
@@ -68,7 +68,7 @@
 	}
 	l.born = born
 	l.lives++
-	l.floor = l.now.Add(time.Duration(float64(l.HoldMost)/slowest) + startMost)
+	l.floor = l.now.Add(time.Duration(float64(l.MaxLease)/slowest) + startMost)
 	l.ends, l.seen, l.noted, l.until = nil, 0, 0, 0
 	l.clock = workerClock{}
 	for key, run := range l.runs {
--- a/agent/leaseholder/leaseholder.go
+++ b/agent/leaseholder/leaseholder.go
@@ -39,8 +39,8 @@
 	Name        string
 	Incarnation specifier.Incarnation
 	GrantSpan   time.Duration // of the controllers
-	HoldMost    time.Duration // longest lease that the worker gives
-	Began       time.Time     // when the process started, on the clock of Step
+	MaxLease    time.Duration // longest lease that the worker gives
+	StartedAt       time.Time     // when the process started, on the clock of Step
 
 	now      time.Time
 	actions  []Action
--- a/agent/leaseholder/leaseholder_test.go
+++ b/agent/leaseholder/leaseholder_test.go
@@ -22,7 +22,7 @@
 func newBench(t *testing.T) *bench {
 	start := time.Unix(1000, 0)
 	b := &bench{t: t, now: start, born: start.Add(-time.Hour),
-		holder: &LeaseHolder{Name: "agent", Incarnation: 1, GrantSpan: 1200 * time.Millisecond, HoldMost: time.Second, Began: start}}
+		holder: &LeaseHolder{Name: "agent", Incarnation: 1, GrantSpan: 1200 * time.Millisecond, MaxLease: time.Second, StartedAt: start}}
 	b.step(Connected{})
 	b.step(Announced{Sequence: 1, Worker: specifier.LeasedWorker{ID: "w", Born: b.born, Capacity: specifier.Resources{MilliCores: 1000}}})
 	b.step(OrderReceived{specifier.LeaseOrder{Token: 1, Granted: b.holder.renewal}})
--- a/agent/leaseholder/link.go
+++ b/agent/leaseholder/link.go
@@ -102,7 +102,7 @@
 	if l.token > 0 && l.heldWith == l.workerToken() {
 		return true
 	}
-	return len(l.runs) == 0 && !l.now.Before(later(l.Began, l.answered).Add(settleAfter))
+	return len(l.runs) == 0 && !l.now.Before(later(l.StartedAt, l.answered).Add(settleAfter))
 }
 
 func later(a, b time.Time) time.Time {
--- a/agent/leaseholder/runs.go
+++ b/agent/leaseholder/runs.go
@@ -9,7 +9,7 @@
 // lease returns the end, on the worker's clock, of the longest lease that the grant allows now.
 func (l *LeaseHolder) lease() time.Duration {
 	left := time.Duration(slowest * float64(l.grantEnd.Sub(l.now)))
-	return l.clock.least(l.now) + min(left, l.HoldMost)
+	return l.clock.least(l.now) + min(left, l.MaxLease)
 }
 
 // start passes a start on to the worker, unless its lease would be in vain.
--- a/agent/leaserunner/runner.go
+++ b/agent/leaserunner/runner.go
@@ -37,7 +37,7 @@
 	Credentials credentials.TransportCredentials
 	Worker      Worker
 	GrantSpan   time.Duration // of the controllers
-	HoldMost    time.Duration // longest lease that the worker gives
+	MaxLease    time.Duration // longest lease that the worker gives
 	Clock       func() time.Time
 	Log         zerolog.Logger
 	Logged       func(leaseholder.LogEvent) // told of each decision; must not block; nil for nobody
@@ -55,7 +55,7 @@
 		return errors.New("leaserunner: Name: is empty")
 	case r.Worker == nil, r.Clock == nil, r.Credentials == nil:
 		return errors.New("leaserunner: Worker, Clock, Credentials: must be set")
-	case r.GrantSpan <= 0, r.HoldMost <= 0:
+	case r.GrantSpan <= 0, r.MaxLease <= 0:
 		return errors.New("leaserunner: GrantSpan, HoldMost: expected more than 0")
 	}
 	r.mailbox = looper.NewMailbox[event](mailboxSize)
@@ -88,7 +88,7 @@
 	group, ctx := errgroup.WithContext(ctx)
 	r.calls, r.ctx = group, ctx
 	holder := &leaseholder.LeaseHolder{Name: r.Name, Incarnation: specifier.Incarnation(rand.Uint64()), GrantSpan: r.GrantSpan,
-		HoldMost: r.HoldMost, Began: r.Clock()}
+		MaxLease: r.MaxLease, StartedAt: r.Clock()}
 	loop := &looper.Loop[event, action]{Machine: &machine{holder: holder}, Mailbox: r.mailbox, Perform: r.perform, Clock: r.Clock}
 	group.Go(func() error { return loop.Run(ctx) })
 	group.Go(func() error { return r.seeker.Run(ctx) })
--- a/local/simulator/fakeagent_test.go
+++ b/local/simulator/fakeagent_test.go
@@ -39,7 +39,7 @@
 	a.life++
 	a.leader = nil
 	a.machine = &leaseholder.LeaseHolder{Name: a.name, Incarnation: specifier.Incarnation(a.life), GrantSpan: dispatcher.Defaults().GrantSpan,
-		HoldMost: time.Second, Began: a.world.now}
+		MaxLease: time.Second, StartedAt: a.world.now}
 	a.seek()
 	life := a.life
 	a.world.after(a.world.span(0, time.Second), func() {
