--- a/agent/executor/assigned.go
+++ b/agent/executor/assigned.go
@@ -9,7 +9,7 @@
 // Assigned asks the agent to run a task.
 type Assigned struct {
 	Entry    specifier.Identity
-	Link     uint64
+	Stream     uint64
 	Key      specifier.TaskKey
 	Epoch    specifier.Epoch
 	Payload  []byte
--- a/agent/executor/assignment.go
+++ b/agent/executor/assignment.go
@@ -9,7 +9,7 @@
 )
 
 func (x *Executor) assigned(now time.Time, e Assigned) {
-	if x.links[e.Entry] != e.Link {
+	if x.links[e.Entry] != e.Stream {
 		return
 	}
 	job := x.jobs[e.Key.Job]
@@ -63,7 +63,7 @@
 
 func (x *Executor) withdrawn(e Withdrawn) {
 	job := x.jobs[e.Job]
-	if x.links[e.Entry] != e.Link || job == nil || e.Epoch < job.epoch {
+	if x.links[e.Entry] != e.Stream || job == nil || e.Epoch < job.epoch {
 		return
 	}
 	for _, entry := range x.queue.Remove(e.Job) {
--- a/agent/executor/departure.go
+++ b/agent/executor/departure.go
@@ -64,7 +64,7 @@
 }
 
 func (x *Executor) released(e Released) {
-	if x.links[e.Entry] == e.Link {
+	if x.links[e.Entry] == e.Stream {
 		delete(x.departure.awaits, e.Entry)
 	}
 }
--- a/agent/executor/executor.go
+++ b/agent/executor/executor.go
@@ -52,14 +52,14 @@
 func (x *Executor) Step(now time.Time, event Event) []Action {
 	x.out, x.now = nil, now
 	switch event := event.(type) {
-	case Linked:
-		x.links[event.Entry] = event.Link
+	case Connected:
+		x.links[event.Entry] = event.Stream
 		x.reports.Add(now, event.Entry, x.Load())
 		x.departure.linked(event.Entry)
 		x.out = append(x.out, Greet{Entry: event.Entry, Load: x.Load()})
 		x.requestRelease(event.Entry)
-	case Unlinked:
-		if x.links[event.Entry] == event.Link {
+	case Disconnected:
+		if x.links[event.Entry] == event.Stream {
 			delete(x.links, event.Entry)
 			x.reports.Remove(event.Entry)
 			x.departure.unlinked(event.Entry)
--- a/agent/executor/fenced.go
+++ b/agent/executor/fenced.go
@@ -10,7 +10,7 @@
 // sender the job's owner: the agent then drops what it has not started and refuses lower epochs.
 type Fenced struct {
 	Entry    specifier.Identity
-	Link     uint64
+	Stream     uint64
 	Job      specifier.JobID
 	Epoch    specifier.Epoch
 	Deadline time.Time
--- a/agent/executor/fencing.go
+++ b/agent/executor/fencing.go
@@ -8,7 +8,7 @@
 )
 
 func (x *Executor) fenced(now time.Time, e Fenced) {
-	if x.links[e.Entry] != e.Link {
+	if x.links[e.Entry] != e.Stream {
 		return
 	}
 	job := x.jobs[e.Job]
--- a/agent/executor/unlinked.go
+++ b/agent/executor/unlinked.go
@@ -2,10 +2,10 @@
 
 import "oleandertally/core/specifier"
 
-// Unlinked reports that a stream from an entry ended.
-type Unlinked struct {
+// Disconnected reports that a stream from an entry ended.
+type Disconnected struct {
 	Entry specifier.Identity
-	Link  uint64
+	Stream  uint64
 }
 
-func (Unlinked) event() {}
+func (Disconnected) event() {}
--- a/agent/listener/messages.go
+++ b/agent/listener/messages.go
@@ -19,7 +19,7 @@
 		if err != nil {
 			return nil, err
 		}
-		event.Entry, event.Link = entry, link
+		event.Entry, event.Stream = entry, link
 		events = append(events, event)
 	}
 	for _, withdraw := range m.Withdraws {
@@ -27,7 +27,7 @@
 		if err != nil {
 			return nil, err
 		}
-		events = append(events, executor.Withdrawn{Entry: entry, Link: link, Job: job, Epoch: specifier.Epoch(withdraw.Epoch)})
+		events = append(events, executor.Withdrawn{Entry: entry, Stream: link, Job: job, Epoch: specifier.Epoch(withdraw.Epoch)})
 	}
 	for _, fence := range m.Fences {
 		job, err := jobID(fence.Job)
@@ -35,10 +35,10 @@
 			return nil, err
 		}
 		left := min(max(time.Duration(fence.TimeLeft), 0), specifier.MaxTimeLeft)
-		events = append(events, executor.Fenced{Entry: entry, Link: link, Job: job, Epoch: specifier.Epoch(fence.Epoch), Deadline: now.Add(left), Mark: fence.Mark})
+		events = append(events, executor.Fenced{Entry: entry, Stream: link, Job: job, Epoch: specifier.Epoch(fence.Epoch), Deadline: now.Add(left), Mark: fence.Mark})
 	}
 	if m.Released {
-		events = append(events, executor.Released{Entry: entry, Link: link})
+		events = append(events, executor.Released{Entry: entry, Stream: link})
 	}
 	return events, nil
 }
--- a/agent/listener/worker.go
+++ b/agent/listener/worker.go
@@ -46,7 +46,7 @@
 	link, box := w.Links.Open(entry)
 	defer w.Links.Close(entry, link)
 	group, ctx := errgroup.WithContext(stream.Context())
-	if err := w.Sink.Send(ctx, executor.Linked{Entry: entry, Link: link}); err != nil {
+	if err := w.Sink.Send(ctx, executor.Connected{Entry: entry, Stream: link}); err != nil {
 		return err
 	}
 	if err := stream.Send(&encoder.AgentMessage{Hello: encoder.EncodeIdentity(self)}); err != nil {
@@ -57,7 +57,7 @@
 	err = group.Wait()
 	closeCtx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	_ = w.Sink.Send(closeCtx, executor.Unlinked{Entry: entry, Link: link})
+	_ = w.Sink.Send(closeCtx, executor.Disconnected{Entry: entry, Stream: link})
 	return err
 }
 
--- a/agent/runner/meter_test.go
+++ b/agent/runner/meter_test.go
@@ -24,7 +24,7 @@
 	m := &metered{meter: newMeter(executor.New(1, 1<<20), exporter.NewAgent()), now: time.Date(2026, 5, 4, 9, 0, 0, 0, time.UTC)}
 	m.step(executor.Leased{Until: m.now.Add(time.Hour)})
 	m.step(executor.UpstreamUp{Addr: netip.MustParseAddrPort("127.0.0.1:1"), Slots: 1, Until: m.now.Add(time.Hour)})
-	m.step(executor.Linked{Entry: entry, Link: 1})
+	m.step(executor.Connected{Entry: entry, Stream: 1})
 	return m
 }
 
@@ -32,7 +32,7 @@
 
 func (m *metered) assign(task string) specifier.TaskKey {
 	key := specifier.TaskKey{Job: specifier.NewJobID("web", "k"), Task: task}
-	m.step(executor.Assigned{Entry: entry, Link: 1, Key: key, Epoch: 1, Order: m.now, Deadline: m.now.Add(time.Minute), Profile: "hold"})
+	m.step(executor.Assigned{Entry: entry, Stream: 1, Key: key, Epoch: 1, Order: m.now, Deadline: m.now.Add(time.Minute), Profile: "hold"})
 	return key
 }
 
@@ -83,13 +83,13 @@
 	})
 	t.Run("withdrawn", func(t *testing.T) {
 		m := full()
-		m.step(executor.Withdrawn{Entry: entry, Link: 1, Job: specifier.NewJobID("web", "k"), Epoch: 1})
+		m.step(executor.Withdrawn{Entry: entry, Stream: 1, Job: specifier.NewJobID("web", "k"), Epoch: 1})
 		m.mustCount(t, 0, "queue_tasks", "Short")
 		m.mustCount(t, 1, "refusals_total", "Withdrawn")
 	})
 	t.Run("fenced", func(t *testing.T) {
 		m := full()
-		m.step(executor.Fenced{Entry: entry, Link: 1, Job: specifier.NewJobID("web", "k"), Epoch: 2, Deadline: m.now.Add(time.Minute)})
+		m.step(executor.Fenced{Entry: entry, Stream: 1, Job: specifier.NewJobID("web", "k"), Epoch: 2, Deadline: m.now.Add(time.Minute)})
 		m.mustCount(t, 0, "queue_tasks", "Short")
 	})
 	t.Run("leaving", func(t *testing.T) {
--- a/entry/coordinator/leave_test.go
+++ b/entry/coordinator/leave_test.go
@@ -41,7 +41,7 @@
 	case dice < 93:
 		w.disconnect(l, random.IntN(4))
 		if a.alive {
-			w.agent(a, executor.Unlinked{Entry: e.id, Link: l.number})
+			w.agent(a, executor.Disconnected{Entry: e.id, Stream: l.number})
 		}
 	case dice < 97 && a.alive && !l.up:
 		w.connect(l)
--- a/entry/coordinator/worldactions_test.go
+++ b/entry/coordinator/worldactions_test.go
@@ -34,23 +34,23 @@
 		case coordinator.Drained:
 			e.drained = true
 		case coordinator.Released:
-			w.toAgent(e, action.Agent, func(l *linkPair) executor.Event { return executor.Released{Entry: e.id, Link: l.number} })
+			w.toAgent(e, action.Agent, func(l *linkPair) executor.Event { return executor.Released{Entry: e.id, Stream: l.number} })
 		case coordinator.Reply:
 			w.reply(e, action)
 		case coordinator.AskOwner:
 			w.askOwner(e, action)
 		case coordinator.Assign:
 			w.toAgent(e, action.Agent, func(l *linkPair) executor.Event {
-				return executor.Assigned{Entry: e.id, Link: l.number, Key: action.Key, Epoch: action.Epoch, Payload: action.Payload,
+				return executor.Assigned{Entry: e.id, Stream: l.number, Key: action.Key, Epoch: action.Epoch, Payload: action.Payload,
 					Order: action.Order, Deadline: action.Deadline, Profile: action.Profile}
 			})
 		case coordinator.Withdraw:
 			w.toAgent(e, action.Agent, func(l *linkPair) executor.Event {
-				return executor.Withdrawn{Entry: e.id, Link: l.number, Job: action.Job, Epoch: action.Epoch}
+				return executor.Withdrawn{Entry: e.id, Stream: l.number, Job: action.Job, Epoch: action.Epoch}
 			})
 		case coordinator.Fence:
 			w.toAgent(e, action.Agent, func(l *linkPair) executor.Event {
-				return executor.Fenced{Entry: e.id, Link: l.number, Job: action.Job, Epoch: action.Epoch, Deadline: action.Deadline, Mark: action.Mark}
+				return executor.Fenced{Entry: e.id, Stream: l.number, Job: action.Job, Epoch: action.Epoch, Deadline: action.Deadline, Mark: action.Mark}
 			})
 		}
 	}
--- a/entry/coordinator/worldlinks_test.go
+++ b/entry/coordinator/worldlinks_test.go
@@ -41,7 +41,7 @@
 		return
 	}
 	l.up, l.number = true, w.next()
-	w.agent(l.agent, executor.Linked{Entry: l.entry.id, Link: l.number})
+	w.agent(l.agent, executor.Connected{Entry: l.entry.id, Stream: l.number})
 	w.entry(l.entry, coordinator.MembersChanged{Version: w.state.MemberVersion(), Members: w.state.Members()})
 	w.entry(l.entry, coordinator.AgentLinked{Agent: l.agent.id})
 }
--- a/local/benchmarker/agent_test.go
+++ b/local/benchmarker/agent_test.go
@@ -21,7 +21,7 @@
 	a := &agentStand{machine: executor.New(4096, 1<<40), entry: specifier.Identity{Name: "entry-1", Incarnation: 1}, now: nine}
 	a.machine.Step(a.now, executor.Leased{Until: a.now.Add(1000 * time.Hour)})
 	a.machine.Step(a.now, executor.UpstreamUp{Addr: netip.MustParseAddrPort("127.0.0.1:9000"), Slots: slots, Until: a.now.Add(1000 * time.Hour)})
-	a.machine.Step(a.now, executor.Linked{Entry: a.entry, Link: 1})
+	a.machine.Step(a.now, executor.Connected{Entry: a.entry, Stream: 1})
 	return a
 }
 
@@ -30,7 +30,7 @@
 	a.last++
 	job := newJob(a.last, 1, a.now.Add(10*time.Second))
 	key := specifier.TaskKey{Job: job.ID, Task: job.Tasks[0].ID}
-	a.machine.Step(a.now, executor.Assigned{Entry: a.entry, Link: 1, Key: key, Epoch: 1, Payload: job.Tasks[0].Payload, Order: a.now,
+	a.machine.Step(a.now, executor.Assigned{Entry: a.entry, Stream: 1, Key: key, Epoch: 1, Payload: job.Tasks[0].Payload, Order: a.now,
 		Deadline: job.Deadline, Profile: "mix"})
 	a.machine.Step(a.now, executor.RunEnded{Key: key, Body: make([]byte, payload)})
 }
--- a/local/transcriber/members.go
+++ b/local/transcriber/members.go
@@ -52,7 +52,7 @@
 		for _, a := range s.agents {
 			if e.alive && a.alive && (a == agent || e == entry) {
 
-				s.agent(a, executor.Linked{Entry: e.id, Link: uint64(e.id.Incarnation)})
+				s.agent(a, executor.Connected{Entry: e.id, Stream: uint64(e.id.Incarnation)})
 				s.entry(e, coordinator.AgentLinked{Agent: a.id})
 			}
 		}
--- a/local/transcriber/perform.go
+++ b/local/transcriber/perform.go
@@ -32,12 +32,12 @@
 		case coordinator.AskOwner:
 			s.askOwner(e, action)
 		case coordinator.Assign:
-			s.toAgent(e, action.Agent, executor.Assigned{Entry: e.id, Link: link, Key: action.Key, Epoch: action.Epoch,
+			s.toAgent(e, action.Agent, executor.Assigned{Entry: e.id, Stream: link, Key: action.Key, Epoch: action.Epoch,
 				Payload: action.Payload, Order: action.Order, Deadline: action.Deadline, Profile: action.Profile})
 		case coordinator.Withdraw:
-			s.toAgent(e, action.Agent, executor.Withdrawn{Entry: e.id, Link: link, Job: action.Job, Epoch: action.Epoch})
+			s.toAgent(e, action.Agent, executor.Withdrawn{Entry: e.id, Stream: link, Job: action.Job, Epoch: action.Epoch})
 		case coordinator.Fence:
-			s.toAgent(e, action.Agent, executor.Fenced{Entry: e.id, Link: link, Job: action.Job, Epoch: action.Epoch,
+			s.toAgent(e, action.Agent, executor.Fenced{Entry: e.id, Stream: link, Job: action.Job, Epoch: action.Epoch,
 				Deadline: action.Deadline, Mark: action.Mark})
 		}
 	}
