--- a/agent/executor/assignment.go
+++ b/agent/executor/assignment.go
@@ -75,7 +75,7 @@
 // then may have started.
 func (x *Executor) refuse(e Assigned, cause Cause) {
 	if job := x.jobs[e.Key.Job]; job == nil || job.find(e.Key.Task) == nil {
-		x.out = append(x.out, Note{recorder.Event{Kind: recorder.TaskRefused, Job: e.Key.Job, Task: e.Key.Task, Epoch: e.Epoch,
+		x.out = append(x.out, RecordEvent{recorder.Event{Kind: recorder.TaskRefused, Job: e.Key.Job, Task: e.Key.Task, Epoch: e.Epoch,
 			Other: e.Entry.Name, Detail: string(cause)}})
 	}
 	x.out = append(x.out, Refused{Entry: e.Entry, Key: e.Key, Epoch: e.Epoch, Cause: cause, Load: x.Load()})
--- a/agent/executor/executor.go
+++ b/agent/executor/executor.go
@@ -199,5 +199,5 @@
 func (x *Executor) leased(now time.Time) bool { return now.Before(x.lease) }
 
 func (x *Executor) note(kind recorder.Kind, id specifier.JobID, task *record, other, detail string) {
-	x.out = append(x.out, Note{recorder.Event{Kind: kind, Job: id, Task: task.task, Epoch: task.epoch, Other: other, Detail: detail}})
+	x.out = append(x.out, RecordEvent{recorder.Event{Kind: kind, Job: id, Task: task.task, Epoch: task.epoch, Other: other, Detail: detail}})
 }
--- a/agent/executor/fencing.go
+++ b/agent/executor/fencing.go
@@ -15,7 +15,7 @@
 	if job == nil || e.Epoch > job.epoch {
 		x.dropSilently(e.Job)
 		job = x.hold(e.Job, e.Epoch, e.Entry, e.Deadline)
-		x.out = append(x.out, Note{recorder.Event{Kind: recorder.JobFenced, Job: e.Job, Epoch: e.Epoch, Other: e.Entry.Name}})
+		x.out = append(x.out, RecordEvent{recorder.Event{Kind: recorder.JobFenced, Job: e.Job, Epoch: e.Epoch, Other: e.Entry.Name}})
 	}
 	x.out = append(x.out, Report{Entry: e.Entry, Job: e.Job, Epoch: job.epoch, Tasks: job.reports(), Mark: e.Mark, Load: x.Load()})
 }
--- a/agent/executor/upstream.go
+++ b/agent/executor/upstream.go
@@ -32,7 +32,7 @@
 		kind = recorder.MemberDraining
 		x.refuseQueued(Drain)
 	}
-	x.out = append(x.out, Note{recorder.Event{Kind: kind}})
+	x.out = append(x.out, RecordEvent{recorder.Event{Kind: kind}})
 	x.out = append(x.out, Announce{Load: x.Load()})
 }
 
--- a/agent/runner/agent.go
+++ b/agent/runner/agent.go
@@ -248,7 +248,7 @@
 		close(a.left)
 	case executor.Ponged:
 		a.pings.answer(action.Number)
-	case executor.Note:
+	case executor.RecordEvent:
 		a.Events.Add(action.Event)
 	}
 }
--- a/agent/runner/meter.go
+++ b/agent/runner/meter.go
@@ -72,7 +72,7 @@
 func (m *meter) actions(now time.Time, actions []executor.Action) []executor.Action {
 	for _, action := range actions {
 		switch action := action.(type) {
-		case executor.Note:
+		case executor.RecordEvent:
 			m.noted(now, action.Event)
 		case executor.Refused:
 			m.metrics.Refused(exporter.Cause(action.Cause))
--- a/entry/coordinator/worldactions_test.go
+++ b/entry/coordinator/worldactions_test.go
@@ -82,7 +82,7 @@
 func (w *world) performAgent(a *agentNode, actions []executor.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
-		case executor.Note:
+		case executor.RecordEvent:
 			w.record(a.id, action.Event)
 		case executor.Run:
 			a.running = append(a.running, action)
--- a/local/transcriber/perform.go
+++ b/local/transcriber/perform.go
@@ -103,7 +103,7 @@
 func (s *Session) performAgent(a *agentNode, actions []executor.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
-		case executor.Note:
+		case executor.RecordEvent:
 			s.record(a.id, action.Event)
 		case executor.Run:
 			s.run(a, action)
