--- a/agent/executor/departure.go
+++ b/agent/executor/departure.go
@@ -43,14 +43,14 @@
 		x.departure.ended = true
 		x.departure.awaits = make(map[specifier.Identity]bool)
 		maps.Copy(x.departure.awaits, x.departure.broken)
-		x.out = append(x.out, Ended{})
+		x.out = append(x.out, WorkFinished{})
 		for _, entry := range slices.SortedFunc(maps.Keys(x.links), specifier.Identity.Compare) {
 			x.requestRelease(entry)
 		}
 	}
 	if len(x.departure.awaits) == 0 && !x.departure.left {
 		x.departure.left = true
-		x.out = append(x.out, Left{})
+		x.out = append(x.out, AllReleased{})
 	}
 }
 
--- a/agent/executor/ended.go
+++ b/agent/executor/ended.go
@@ -1,6 +1,6 @@
 package executor
 
-// Ended says, after Leaving, that nothing is queued or running.
-type Ended struct{}
+// WorkFinished says, after Leaving, that nothing is queued or running.
+type WorkFinished struct{}
 
-func (Ended) action() {}
+func (WorkFinished) action() {}
--- a/agent/executor/left.go
+++ b/agent/executor/left.go
@@ -1,6 +1,6 @@
 package executor
 
-// Left says, after Ended, that every entry has released the agent.
-type Left struct{}
+// AllReleased says, after Ended, that every entry has released the agent.
+type AllReleased struct{}
 
-func (Left) action() {}
+func (AllReleased) action() {}
--- a/agent/runner/agent.go
+++ b/agent/runner/agent.go
@@ -242,9 +242,9 @@
 		}
 	case executor.RequestRelease:
 		a.links.Put(action.Entry, listener.EncodeRequestRelease(action))
-	case executor.Ended:
+	case executor.WorkFinished:
 		close(a.ended)
-	case executor.Left:
+	case executor.AllReleased:
 		close(a.left)
 	case executor.Ponged:
 		a.pings.answer(action.Number)
--- a/entry/coordinator/worldactions_test.go
+++ b/entry/coordinator/worldactions_test.go
@@ -100,7 +100,7 @@
 		case executor.RequestRelease:
 			w.toEntry(a, action.Entry, coordinator.Loaded{Agent: a.id, Load: action.Load})
 			w.toEntry(a, action.Entry, coordinator.AgentLeaving{Agent: a.id})
-		case executor.Left:
+		case executor.AllReleased:
 			a.left = true
 		case executor.Announce:
 			for _, e := range w.entries {
