--- a/agent/executor/executor.go
+++ b/agent/executor/executor.go
@@ -56,7 +56,7 @@
 		x.links[event.Entry] = event.Stream
 		x.reports.Add(now, event.Entry, x.Load())
 		x.departure.linked(event.Entry)
-		x.out = append(x.out, Greet{Entry: event.Entry, Load: x.Load()})
+		x.out = append(x.out, SendLoad{Entry: event.Entry, Load: x.Load()})
 		x.requestRelease(event.Entry)
 	case Disconnected:
 		if x.links[event.Entry] == event.Stream {
--- a/agent/executor/running.go
+++ b/agent/executor/running.go
@@ -68,7 +68,7 @@
 func (x *Executor) reportLoad(now time.Time) {
 	load := x.Load()
 	for _, entry := range x.reports.Due(now, load) {
-		x.out = append(x.out, Greet{Entry: entry, Load: load})
+		x.out = append(x.out, SendLoad{Entry: entry, Load: load})
 	}
 }
 
--- a/agent/runner/agent.go
+++ b/agent/runner/agent.go
@@ -230,7 +230,7 @@
 		a.links.Put(action.Entry, listener.EncodeRefused(action))
 	case executor.Report:
 		a.links.Put(action.Entry, listener.EncodeReport(action))
-	case executor.Greet:
+	case executor.SendLoad:
 		a.links.Put(action.Entry, &encoder.AgentMessage{Load: listener.EncodeLoad(action.Load)})
 	case executor.Announce:
 		a.links.PutAll(&encoder.AgentMessage{Load: listener.EncodeLoad(action.Load)})
--- a/entry/coordinator/worldactions_test.go
+++ b/entry/coordinator/worldactions_test.go
@@ -95,7 +95,7 @@
 			w.toEntry(a, action.Entry, coordinator.Loaded{Agent: a.id, Load: action.Load})
 		case executor.Report:
 			w.toEntry(a, action.Entry, coordinator.Reported{Agent: a.id, Job: action.Job, Epoch: action.Epoch, Tasks: action.Tasks, Mark: action.Mark})
-		case executor.Greet:
+		case executor.SendLoad:
 			w.toEntry(a, action.Entry, coordinator.Loaded{Agent: a.id, Load: action.Load})
 		case executor.RequestRelease:
 			w.toEntry(a, action.Entry, coordinator.Loaded{Agent: a.id, Load: action.Load})
--- a/local/transcriber/perform.go
+++ b/local/transcriber/perform.go
@@ -115,7 +115,7 @@
 				coordinator.Loaded{Agent: a.id, Load: action.Load})
 		case executor.Report:
 			s.toEntry(action.Entry, coordinator.Reported{Agent: a.id, Job: action.Job, Epoch: action.Epoch, Tasks: action.Tasks, Mark: action.Mark})
-		case executor.Greet:
+		case executor.SendLoad:
 			s.toEntry(action.Entry, coordinator.Loaded{Agent: a.id, Load: action.Load})
 		case executor.Announce:
 			for _, e := range s.entries {
