--- a/agent/executor/assignment.go
+++ b/agent/executor/assignment.go
@@ -55,7 +55,7 @@
 		return NoLease
 	case !e.Deadline.After(now):
 		return Late
-	case x.queue.Len() >= x.QueueBound || x.held >= x.HeldBytes:
+	case x.queue.Len() >= x.MaxQueue || x.held >= x.MaxResultBytes:
 		return Full
 	}
 	return ""
--- a/agent/executor/executor.go
+++ b/agent/executor/executor.go
@@ -13,11 +13,11 @@
 
 // Executor is the control state of an agent. Exported fields are set before the first Step.
 type Executor struct {
-	// QueueBound is the most tasks that wait here; more are refused.
-	QueueBound int
-	// HeldBytes bounds the results kept for repeats; new tasks are refused beyond it, since a
+	// MaxQueue is the most tasks that wait here; more are refused.
+	MaxQueue int
+	// MaxResultBytes bounds the results kept for repeats; new tasks are refused beyond it, since a
 	// result that was answered once must be there for a repeat.
-	HeldBytes int
+	MaxResultBytes int
 
 	jobs      map[specifier.JobID]*holding
 	queue     orderer.Queue
@@ -40,8 +40,8 @@
 // New returns an executor without an upstream or a lease.
 func New(queueBound, heldBytes int) *Executor {
 	return &Executor{
-		QueueBound: queueBound,
-		HeldBytes:  heldBytes,
+		MaxQueue: queueBound,
+		MaxResultBytes:  heldBytes,
 		jobs:       make(map[specifier.JobID]*holding),
 		expiring:   container.Heap[expiry]{Less: expiry.less},
 		links:      make(map[specifier.Identity]uint64),
