--- a/agent/listener/links.go
+++ b/agent/listener/links.go
@@ -8,8 +8,8 @@
 	"oleandertally/core/specifier"
 )
 
-// Links holds the queue of the present stream of each entry. It is safe for concurrent use.
-type Links struct {
+// Streams holds the queue of the present stream of each entry. It is safe for concurrent use.
+type Streams struct {
 	mutex sync.Mutex
 	last  uint64
 	open  map[specifier.Identity]entryLink
@@ -22,7 +22,7 @@
 }
 
 // Open replaces the entry's stream and returns the number of the new one.
-func (l *Links) Open(entry specifier.Identity) (uint64, *looper.Outbox[*encoder.AgentMessage]) {
+func (l *Streams) Open(entry specifier.Identity) (uint64, *looper.Outbox[*encoder.AgentMessage]) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.open == nil {
@@ -35,7 +35,7 @@
 }
 
 // Close forgets a stream, unless a newer one has replaced it.
-func (l *Links) Close(entry specifier.Identity, link uint64) {
+func (l *Streams) Close(entry specifier.Identity, link uint64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.open[entry].link == link {
@@ -45,7 +45,7 @@
 
 // Put queues a message for an entry. It is dropped while the entry has no stream: the entry asks
 // for the agent's record when it opens one.
-func (l *Links) Put(entry specifier.Identity, message *encoder.AgentMessage) {
+func (l *Streams) Put(entry specifier.Identity, message *encoder.AgentMessage) {
 	l.mutex.Lock()
 	box := l.open[entry].box
 	l.mutex.Unlock()
@@ -55,7 +55,7 @@
 }
 
 // PutAll queues a message for every entry.
-func (l *Links) PutAll(message *encoder.AgentMessage) {
+func (l *Streams) PutAll(message *encoder.AgentMessage) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for _, opened := range l.open {
--- a/agent/listener/worker.go
+++ b/agent/listener/worker.go
@@ -20,7 +20,7 @@
 
 	Self  func() specifier.Identity
 	Sink  *looper.Mailbox[executor.Event]
-	Links *Links
+	Streams *Streams
 	Clock func() time.Time
 	// Verify returns an error unless the call of ctx comes from the entry with that name.
 	Verify func(ctx context.Context, entry string) error
@@ -43,8 +43,8 @@
 	if first.Target != uint64(self.Incarnation) {
 		return status.Errorf(codes.FailedPrecondition, "Target: is %016x, this agent is %s", first.Target, self)
 	}
-	link, box := w.Links.Open(entry)
-	defer w.Links.Close(entry, link)
+	link, box := w.Streams.Open(entry)
+	defer w.Streams.Close(entry, link)
 	group, ctx := errgroup.WithContext(stream.Context())
 	if err := w.Sink.Send(ctx, executor.Connected{Entry: entry, Stream: link}); err != nil {
 		return err
--- a/agent/runner/agent.go
+++ b/agent/runner/agent.go
@@ -63,7 +63,7 @@
 
 	self          atomic.Pointer[specifier.Identity]
 	mailbox       *looper.Mailbox[executor.Event]
-	links         *listener.Links
+	links         *listener.Streams
 	invoker       *invoker.Invoker
 	attender      *registrant.Registrant
 	lease         *registrant.Lease
@@ -101,7 +101,7 @@
 	a.self.Store(&identity)
 	a.Events.SetProcess(identity.String())
 	a.mailbox = looper.NewMailbox[executor.Event](mailboxSize)
-	a.links = &listener.Links{}
+	a.links = &listener.Streams{}
 	a.invoker = invoker.New(a.Settings.MaxConnections)
 	a.pool = &dialer.Pool{Credentials: a.Security.ClientCredentials(specifier.Controller, ""), MaxMessage: int(a.Settings.MaxMessage),
 		Stats: []stats.Handler{&exporter.Bytes{Member: a.Metrics.Member}}}
@@ -124,7 +124,7 @@
 // serve prepares both servers.
 func (a *Agent) serve() {
 	a.server = dialer.NewGuardedServer(a.Security.ServerOptions(guard, a.Settings.MaxMessage)...)
-	encoder.RegisterWorkerServer(a.server, &listener.Worker{Self: a.Self, Sink: a.mailbox, Links: a.links, Clock: time.Now,
+	encoder.RegisterWorkerServer(a.server, &listener.Worker{Self: a.Self, Sink: a.mailbox, Streams: a.links, Clock: time.Now,
 		Verify: func(ctx context.Context, entry string) error {
 			return a.Security.CheckPeer(ctx, authenticator.Peer{Role: specifier.Entry, Name: entry})
 		}})
