--- a/agent/leaseholder/action.go
+++ b/agent/leaseholder/action.go
@@ -1,4 +1,4 @@
 package leaseholder
 
-// Action is Report, Start, Stop, Hold or Note.
+// Action is Report, Start, Stop, Poll or LogEvent.
 type Action any
--- a/agent/leaseholder/announced.go
+++ b/agent/leaseholder/announced.go
@@ -2,7 +2,7 @@
 
 import "oleandertally/core/specifier"
 
-// Announced is what the worker says of itself. Sequence rises within one life.
+// Announced is an announcement of the worker about itself. Sequence rises within one incarnation of the worker.
 type Announced struct {
 	Worker   specifier.LeasedWorker
 	Sequence uint64
--- a/agent/leaseholder/presence.go
+++ b/agent/leaseholder/announcement.go
@@ -1,10 +1,10 @@
 package leaseholder
 
-// announced takes over what the worker says of itself. Reports of an earlier life, and late ones, change nothing.
+// announced applies an announcement of the worker. Those of an earlier incarnation, and late ones, are ignored.
 func (l *LeaseHolder) announced(event Announced) {
 	worker := event.Worker
 	if known := l.worker; known != nil {
-		older := worker.Born.Before(known.Born) || worker.Born.Before(l.born)
+		older := worker.Born.Before(known.Born) || worker.Born.Before(l.startedAt)
 		if older || worker.ID == known.ID && worker.Born.Equal(known.Born) && event.Sequence <= l.sequence {
 			return
 		}
@@ -14,32 +14,32 @@
 	l.worker, l.sequence = &worker, event.Sequence
 	if first {
 		l.emit(LogEvent{Event: "WorkerAnnounced", Detail: worker.ID})
-		l.answered = l.now
+		l.answeredAt = l.now
 	}
-	if !worker.Born.Equal(l.born) {
-		l.reborn(worker.Born)
+	if !worker.Born.Equal(l.startedAt) {
+		l.workerRestarted(worker.Born)
 	}
 	if first || draining != worker.Draining {
-		l.changed = true
-		l.tell()
+		l.workerChanged = true
+		l.renewIfConnected()
 	}
 }
 
-// tell reports a change of the worker at once.
-func (l *LeaseHolder) tell() {
-	if l.linked {
+// renewIfConnected reports a change of the worker without waiting for the next renewal.
+func (l *LeaseHolder) renewIfConnected() {
+	if l.connected {
 		l.renew()
 	}
 }
 
-// departed notes that the worker ends: what ran there terminates with it.
+// departed marks the worker as draining, since it has announced that it terminates. Its runs terminate with it.
 func (l *LeaseHolder) departed(id string) {
 	if l.worker == nil || l.worker.ID != id {
 		return
 	}
 	l.emit(LogEvent{Event: "WorkerDeparted", Detail: id, Count: len(l.runs)})
-	gone := *l.worker
-	gone.Draining = true
-	l.worker, l.changed = &gone, true
-	l.tell()
+	departed := *l.worker
+	departed.Draining = true
+	l.worker, l.workerChanged = &departed, true
+	l.renewIfConnected()
 }
--- a/agent/leaseholder/departed.go
+++ b/agent/leaseholder/departed.go
@@ -1,4 +1,4 @@
 package leaseholder
 
-// Departed tells that the worker with this ID says that it ends.
+// Departed reports that the worker with this ID has announced that it terminates.
 type Departed struct{ ID string }
--- /dev/null
+++ b/agent/leaseholder/disconnected.go
@@ -0,0 +1,4 @@
+package leaseholder
+
+// Disconnected reports that the stream to the controller has ended.
+type Disconnected struct{}
--- a/agent/leaseholder/doc.go
+++ b/agent/leaseholder/doc.go
@@ -1,7 +1,7 @@
-// Package leaseholder decides for an agent what its worker runs. It is pure: a step takes the time and an event and
-// returns actions.
+// Package leaseholder decides for an agent which runs its worker starts, keeps and stops. It is pure: a step takes the
+// time and an event and returns actions.
 //
-// The agent keeps the leases of its worker's runs only while it has a grant of the leading controller, and never beyond the
-// end of that grant. A start whose answer is lost counts as a run until a look at the worker, a stop or the end of
-// its lease has shown that it is none.
+// The agent extends the leases of its worker's runs only while it has a grant of the leading controller, and never beyond the
+// end of that grant. A start whose answer is lost counts as a run until a poll of the worker, a stop or the end of the
+// lease has shown that there is no such run.
 package leaseholder
--- a/agent/leaseholder/event.go
+++ b/agent/leaseholder/event.go
@@ -1,4 +1,4 @@
 package leaseholder
 
-// Event is Linked, Unlinked, Ordered, Announced, Departed, Started, Stopped, Held or Leave.
+// Event is Connected, Disconnected, OrderReceived, Announced, Departed, Started, Stopped, PollResult or Leave.
 type Event any
--- a/agent/leaseholder/leaseholder.go
+++ b/agent/leaseholder/leaseholder.go
@@ -9,68 +9,69 @@
 )
 
 const (
-	// renewEvery leaves room for several lost renewals within a grant.
-	renewEvery = 100 * time.Millisecond
-	// holdWait is how long a hold waits for an end. While a hold whose answer is lost is waited for, no end is seen, so it is short.
-	holdWait = 60 * time.Millisecond
-	// holdsAtOnce is how many holds in a row may go without an answer before the next one is put off by holdAgain.
-	holdsAtOnce = 3
-	// holdAgain is how long to wait after holds that had no answer.
-	holdAgain = 100 * time.Millisecond
-	// silentAgain takes its place once nothing has answered for silentAfter.
-	silentAgain = 500 * time.Millisecond
-	silentAfter = 3 * time.Second
-	// noteWithin is how long the next hold waits for the controller to note the ends that the last one listed.
-	noteWithin = 60 * time.Millisecond
-	// looksOnly is how long after the last answer the agent goes on extending leases that it does not see.
-	looksOnly = 600 * time.Millisecond
-	// settleAfter is longer than a lease.
-	settleAfter = 1200 * time.Millisecond
-	// lapseMargin is added to the end of a lease before its runs count as gone.
+	// renewInterval allows for several lost renewals within a grant.
+	renewInterval = 100 * time.Millisecond
+	// pollWait is how long a poll waits for an end. It is short, since the agent learns of no end while it waits for a poll whose
+	// answer is lost.
+	pollWait = 60 * time.Millisecond
+	// maxFailedPolls is the number of consecutive failed polls from which on the next one is delayed by retryInterval.
+	maxFailedPolls = 3
+	// retryInterval is the delay of a poll after failed ones, and of a repeated stop.
+	retryInterval = 100 * time.Millisecond
+	// unreachableRetryInterval replaces retryInterval for polls once the worker has not answered for unreachableTimeout.
+	unreachableRetryInterval = 500 * time.Millisecond
+	unreachableTimeout       = 3 * time.Second
+	// acknowledgeTimeout is how long the next poll waits for the controller to acknowledge the ends that the last one listed.
+	acknowledgeTimeout = 60 * time.Millisecond
+	// workerTimeout is how long after the worker's last answer the agent still extends leases and sends starts.
+	workerTimeout = 600 * time.Millisecond
+	// settleDelay is longer than a lease, so that every lease has ended after it.
+	settleDelay = 1200 * time.Millisecond
+	// lapseMargin is added to the end of a lease before its runs count as ended.
 	lapseMargin = 60 * time.Millisecond
-	// startMost is more than a start takes that is answered at all.
-	startMost = 200 * time.Millisecond
-	// renewalsKept is how many renewals may be without a grant.
-	renewalsKept = 64
+	// maxStartTime is longer than any answered start takes.
+	maxStartTime = 200 * time.Millisecond
+	// maxPendingRenewals is the number of renewals without a grant that are remembered.
+	maxPendingRenewals = 64
 )
 
 // LeaseHolder is the control state of an agent. Exported fields are set before the first Step.
 type LeaseHolder struct {
 	Name        string
 	Incarnation specifier.Incarnation
-	GrantSpan   time.Duration // of the controllers
+	GrantSpan   time.Duration // duration of a controller's grant
 	MaxLease    time.Duration // longest lease that the worker gives
-	StartedAt       time.Time     // when the process started, on the clock of Step
+	StartedAt   time.Time     // when the process started, on the clock of Step
 
-	now      time.Time
-	actions  []Action
-	linked   bool
-	token    uint64 // highest fencing token of the controllers
-	lives    uint64 // of the worker that this process saw
-	heldWith uint64 // token of the last hold that was answered
-	grantEnd time.Time
-	renewal  uint64
-	renewals map[uint64]time.Time
-	renewAt  time.Time
-	orders   uint64
-	leaving  bool
+	now          time.Time
+	actions      []Action
+	connected    bool
+	token        uint64 // highest fencing token received from a controller
+	incarnations uint64 // incarnations of the worker that this process has seen
+	polledToken  uint64 // highest token of an answered poll
+	grantEnd     time.Time
+	renewal      uint64               // number of the last renewal
+	renewals     map[uint64]time.Time // send times of the renewals that have no grant yet
+	renewAt      time.Time
+	orders       uint64 // number of the last order
+	leaving      bool
 
-	worker   *specifier.LeasedWorker
-	sequence uint64
-	clock    workerClock
-	born     time.Time // of the life that answered last
-	runs     map[specifier.RunKey]*heldRun
-	ends     []specifier.RunEnd // not noted
-	seen     uint64             // highest end listed
-	noted    uint64             // highest end noted by the controller
-	until    time.Duration      // end of the longest lease asked for, on the worker's clock
-	answered time.Time          // last answer to a hold
-	floor    time.Time          // before this, a start that reached a new life of the worker may hold a lease
-	holding  bool
-	unheld   int       // holds in a row without an answer
-	holdAt   time.Time // zero while a hold is under way or can't be made
-	pause    time.Time // until when the next hold waits for a note
-	changed  bool      // of the worker, to be reported
+	worker          *specifier.LeasedWorker
+	sequence        uint64 // of the worker's last announcement
+	clock           workerClock
+	startedAt       time.Time // start of the newest known incarnation of the worker
+	runs            map[specifier.RunKey]*trackedRun
+	ends            []specifier.RunEnd // not yet acknowledged by the controller
+	lastListed      uint64             // highest end that the worker listed
+	acknowledged    uint64             // highest end that the controller has recorded
+	leaseEnd        time.Duration      // end of the longest lease that was requested, on the worker's clock
+	answeredAt      time.Time          // time of the last answer to a poll
+	restartLeaseEnd time.Time          // until then, a start that reached the restarted worker may have a lease
+	polling         bool               // a periodic poll is under way
+	failedPolls     int                // consecutive polls that failed
+	pollAt          time.Time          // when the next poll is due
+	pausedUntil     time.Time          // until then, the next poll waits for the controller to acknowledge the ends
+	workerChanged   bool               // the worker has changed since the last report
 }
 
 // Step handles one event.
@@ -78,11 +79,11 @@
 	l.begin(now)
 	switch event := event.(type) {
 	case Connected:
-		l.link()
+		l.connect()
 	case Disconnected:
-		l.linked = false
+		l.connected = false
 	case OrderReceived:
-		l.ordered(event.Order)
+		l.orderReceived(event.Order)
 	case Announced:
 		l.announced(event)
 	case Departed:
@@ -92,7 +93,7 @@
 	case Stopped:
 		l.stopped(event)
 	case PollResult:
-		l.held(event)
+		l.pollAnswered(event)
 	case Leave:
 		l.leaving = true
 		l.report(specifier.LeaseReport{})
@@ -103,14 +104,14 @@
 // Expire handles the deadlines that are due.
 func (l *LeaseHolder) Expire(now time.Time) []Action {
 	l.begin(now)
-	if l.linked && !l.renewAt.After(now) {
+	if l.connected && !l.renewAt.After(now) {
 		l.renew()
 	}
-	if end := l.lapse(); !end.IsZero() && !end.After(now) {
-		l.lapsed()
+	if end := l.leasesEndAt(); !end.IsZero() && !end.After(now) {
+		l.leasesEnded()
 	}
 	for _, run := range l.sorted() {
-		if !run.stopAgain.IsZero() && !run.stopAgain.After(now) {
+		if !run.stopRetryAt.IsZero() && !run.stopRetryAt.After(now) {
 			l.stop(run)
 		}
 	}
@@ -125,20 +126,20 @@
 			next = at
 		}
 	}
-	if l.linked {
+	if l.connected {
 		consider(l.renewAt)
 	}
-	if l.mayHold() && !l.holding {
-		consider(l.holdAt)
+	if l.mayPoll() && !l.polling {
+		consider(l.pollAt)
 	}
-	consider(l.lapse())
+	consider(l.leasesEndAt())
 	for _, run := range l.runs {
-		consider(run.stopAgain)
+		consider(run.stopRetryAt)
 	}
 	return next
 }
 
-// Idle reports whether nothing runs at the worker and no end waits to be noted.
+// Idle reports whether nothing runs at the worker and the controller has acknowledged every end.
 func (l *LeaseHolder) Idle() bool { return len(l.runs) == 0 && len(l.ends) == 0 }
 
 // WorkerID returns the ID of the worker, or "".
@@ -152,26 +153,26 @@
 func (l *LeaseHolder) begin(now time.Time) {
 	l.now, l.actions = now, nil
 	if l.runs == nil {
-		l.runs, l.renewals = make(map[specifier.RunKey]*heldRun), make(map[uint64]time.Time)
-		l.holdAt = now
+		l.runs, l.renewals = make(map[specifier.RunKey]*trackedRun), make(map[uint64]time.Time)
+		l.pollAt = now
 	}
 }
 
 func (l *LeaseHolder) finish() []Action {
-	if l.mayHold() && !l.holding && !l.holdAt.After(l.now) {
-		l.hold()
+	if l.mayPoll() && !l.polling && !l.pollAt.After(l.now) {
+		l.poll()
 	}
 	return l.actions
 }
 
 func (l *LeaseHolder) emit(action Action) { l.actions = append(l.actions, action) }
 
-func (l *LeaseHolder) sorted() []*heldRun {
-	list := make([]*heldRun, 0, len(l.runs))
+func (l *LeaseHolder) sorted() []*trackedRun {
+	list := make([]*trackedRun, 0, len(l.runs))
 	for _, run := range l.runs {
 		list = append(list, run)
 	}
-	slices.SortFunc(list, func(a, b *heldRun) int {
+	slices.SortFunc(list, func(a, b *trackedRun) int {
 		if order := strings.Compare(a.Key.Task, b.Key.Task); order != 0 {
 			return order
 		}
--- a/agent/leaseholder/leaseholder_test.go
+++ b/agent/leaseholder/leaseholder_test.go
@@ -9,40 +9,42 @@
 	"oleandertally/core/specifier"
 )
 
-// bench drives a lease holder on a held clock.
-type bench struct {
-	t       *testing.T
-	holder  *LeaseHolder
-	now     time.Time
-	born    time.Time
-	actions []Action
+// fixture drives a lease holder on a clock that only the test advances.
+type fixture struct {
+	t           *testing.T
+	holder      *LeaseHolder
+	now         time.Time
+	workerStart time.Time
+	actions     []Action
 }
 
-// newBench returns a lease holder with a worker that has answered and a grant.
-func newBench(t *testing.T) *bench {
+// newFixture returns a lease holder that has a grant and whose worker has answered.
+func newFixture(t *testing.T) *fixture {
 	start := time.Unix(1000, 0)
-	b := &bench{t: t, now: start, born: start.Add(-time.Hour),
+	f := &fixture{t: t, now: start, workerStart: start.Add(-time.Hour),
 		holder: &LeaseHolder{Name: "agent", Incarnation: 1, GrantSpan: 1200 * time.Millisecond, MaxLease: time.Second, StartedAt: start}}
-	b.step(Connected{})
-	b.step(Announced{Sequence: 1, Worker: specifier.LeasedWorker{ID: "w", Born: b.born, Capacity: specifier.Resources{MilliCores: 1000}}})
-	b.step(OrderReceived{specifier.LeaseOrder{Token: 1, Granted: b.holder.renewal}})
-	b.answerHolds(nil, nil)
-	return b
+	f.step(Connected{})
+	f.step(Announced{Sequence: 1, Worker: specifier.LeasedWorker{ID: "w", Born: f.workerStart, Capacity: specifier.Resources{MilliCores: 1000}}})
+	f.step(OrderReceived{specifier.LeaseOrder{Token: 1, Granted: f.holder.renewal}})
+	f.answerPolls(nil, nil)
+	return f
 }
 
-func (b *bench) step(event Event) { b.actions = b.holder.Step(b.now, event) }
+func (f *fixture) step(event Event) { f.actions = f.holder.Step(f.now, event) }
 
-func (b *bench) answer() Answer { return Answer{CalledAt: b.now, Clock: b.now.Sub(b.born), StartedAt: b.born} }
+func (f *fixture) answer() Answer {
+	return Answer{CalledAt: f.now, Clock: f.now.Sub(f.workerStart), StartedAt: f.workerStart}
+}
 
-// answerHolds answers what was asked in the last step.
-func (b *bench) answerHolds(runs []specifier.LeasedRun, ends []specifier.RunEnd) {
-	for _, hold := range find[Poll](b.actions) {
-		b.step(PollResult{Answer: b.answer(), Immediate: hold.Immediate, Token: hold.Token, EndsComplete: true, Runs: runs, Ends: ends})
+// answerPolls answers the polls of the last step.
+func (f *fixture) answerPolls(runs []specifier.LeasedRun, ends []specifier.RunEnd) {
+	for _, poll := range find[Poll](f.actions) {
+		f.step(PollResult{Answer: f.answer(), Immediate: poll.Immediate, Token: poll.Token, EndsComplete: true, Runs: runs, Ends: ends})
 	}
 }
 
-func (b *bench) order(run uint64) {
-	b.step(OrderReceived{specifier.LeaseOrder{Token: 1, Orders: run, Starts: []specifier.RunStart{{Key: key(run)}}}})
+func (f *fixture) order(run uint64) {
+	f.step(OrderReceived{specifier.LeaseOrder{Token: 1, Orders: run, Starts: []specifier.RunStart{{Key: key(run)}}}})
 }
 
 func key(run uint64) specifier.RunKey { return specifier.RunKey{Task: "job.0.0.0", Run: run} }
@@ -59,84 +61,85 @@
 }
 
 // mustRefuse requires a report of one refused start.
-func (b *bench) mustRefuse(how specifier.EndKind) {
-	b.t.Helper()
+func (f *fixture) mustRefuse(kind specifier.EndKind) {
+	f.t.Helper()
 	var refused []specifier.RunEnd
-	for _, report := range find[Report](b.actions) {
+	for _, report := range find[Report](f.actions) {
 		refused = append(refused, report.Report.Refused...)
 	}
-	must.SliceLen(b.t, 1, refused)
-	must.Eq(b.t, how, refused[0].How)
+	must.SliceLen(f.t, 1, refused)
+	must.Eq(f.t, kind, refused[0].How)
 }
 
-// Guards against a lease beyond the grant of the controller, after which the task may be started elsewhere.
+// Guards against a lease that outlasts the controller's grant: after the grant, the task may be started elsewhere.
 func TestLeaseEndsWithTheGrant(t *testing.T) {
-	b := newBench(t)
-	b.now = b.now.Add(900 * time.Millisecond)
-	b.holder.answered = b.now
-	b.order(1)
-	starts := find[Start](b.actions)
+	f := newFixture(t)
+	f.now = f.now.Add(900 * time.Millisecond)
+	f.holder.answeredAt = f.now
+	f.order(1)
+	starts := find[Start](f.actions)
 	must.SliceLen(t, 1, starts)
-	left := starts[0].LeaseEnd - b.now.Sub(b.born)
+	left := starts[0].LeaseEnd - f.now.Sub(f.workerStart)
 	must.LessEq(t, 300*time.Millisecond, left)
 }
 
-func TestStartsThatAreRefusedHere(t *testing.T) {
-	t.Run("after the grant", func(t *testing.T) { // guards against a start that outlives its controller
-		b := newBench(t)
-		b.now = b.now.Add(1300 * time.Millisecond)
-		b.order(1)
-		must.SliceEmpty(t, find[Start](b.actions))
-		b.mustRefuse(specifier.EndRefusedLate)
+func TestRefusedStarts(t *testing.T) {
+	t.Run("after the grant", func(t *testing.T) { // guards against a start for a controller that may have lost its leadership
+		f := newFixture(t)
+		f.now = f.now.Add(1300 * time.Millisecond)
+		f.order(1)
+		must.SliceEmpty(t, find[Start](f.actions))
+		f.mustRefuse(specifier.EndRefusedLate)
 	})
-	t.Run("while the worker drains", func(t *testing.T) { // guards against new work at a worker that leaves
-		b := newBench(t)
-		b.step(Announced{Sequence: 2, Worker: specifier.LeasedWorker{ID: "w", Born: b.born, Draining: true}})
-		b.order(1)
-		b.mustRefuse(specifier.EndRefusedLate)
+	t.Run("while the worker drains", func(t *testing.T) { // guards against new work on a worker that is shutting down
+		f := newFixture(t)
+		f.step(Announced{Sequence: 2, Worker: specifier.LeasedWorker{ID: "w", Born: f.workerStart, Draining: true}})
+		f.order(1)
+		f.mustRefuse(specifier.EndRefusedLate)
 	})
 	t.Run("of an earlier controller", func(t *testing.T) { // guards against two controllers that start the same task
-		b := newBench(t)
-		b.step(OrderReceived{specifier.LeaseOrder{Token: 5}})
-		b.order(1)
-		must.SliceEmpty(t, find[Start](b.actions))
+		f := newFixture(t)
+		f.step(OrderReceived{specifier.LeaseOrder{Token: 5}})
+		f.order(1)
+		must.SliceEmpty(t, find[Start](f.actions))
 	})
 }
 
-// Guards against a run that counts as gone while it may still begin, and against one that is lost from sight.
+// Guards against a run that counts as ended although it may still begin, and against a run that is no longer tracked. Both
+// could follow from a start whose answer is lost.
 func TestUnansweredStart(t *testing.T) {
-	b := newBench(t)
-	b.order(1)
-	b.step(Started{Answer: Answer{CalledAt: b.now, Lost: true}, Key: key(1)})
-	looks := find[Poll](b.actions)
-	must.SliceLen(t, 1, looks)
-	must.True(t, looks[0].Immediate)
-	b.answerHolds(nil, nil)
-	must.SliceLen(t, 1, find[Stop](b.actions))
-	must.False(t, b.holder.Idle())
-	b.now = b.now.Add(time.Millisecond)
-	b.step(Stopped{Answer: b.answer(), Key: key(1)})
-	b.now = b.now.Add(time.Millisecond)
-	b.answerHolds(nil, nil)
-	b.mustRefuse(specifier.EndUnanswered)
-	must.True(t, b.holder.Idle())
+	f := newFixture(t)
+	f.order(1)
+	f.step(Started{Answer: Answer{CalledAt: f.now, Lost: true}, Key: key(1)})
+	polls := find[Poll](f.actions)
+	must.SliceLen(t, 1, polls)
+	must.True(t, polls[0].Immediate)
+	f.answerPolls(nil, nil)
+	must.SliceLen(t, 1, find[Stop](f.actions))
+	must.False(t, f.holder.Idle())
+	f.now = f.now.Add(time.Millisecond)
+	f.step(Stopped{Answer: f.answer(), Key: key(1)})
+	f.now = f.now.Add(time.Millisecond)
+	f.answerPolls(nil, nil)
+	f.mustRefuse(specifier.EndUnanswered)
+	must.True(t, f.holder.Idle())
 }
 
-// Guards against ends that go unseen for half a second because the answer to one hold was lost.
-func TestLostHoldIsRepeatedAtOnce(t *testing.T) {
-	b := newBench(t)
-	must.True(t, b.holder.holding)
-	b.step(PollResult{Answer: Answer{CalledAt: b.now, Lost: true}})
-	must.SliceLen(t, 1, find[Poll](b.actions))
-	must.LessEq(t, 100*time.Millisecond, find[Poll](b.actions)[0].Wait)
+// Guards against ends that are noticed half a second late because the answer to one poll was lost.
+func TestLostPollIsRepeatedAtOnce(t *testing.T) {
+	f := newFixture(t)
+	must.True(t, f.holder.polling)
+	f.step(PollResult{Answer: Answer{CalledAt: f.now, Lost: true}})
+	must.SliceLen(t, 1, find[Poll](f.actions))
+	must.LessEq(t, 100*time.Millisecond, find[Poll](f.actions)[0].Wait)
 }
 
-// Guards against work that a reborn worker takes for its own although it was meant for its former life.
-func TestTokenRisesWithEachLife(t *testing.T) {
-	b := newBench(t)
-	before := b.holder.workerToken()
-	b.born = b.now
-	b.step(PollResult{Answer: b.answer(), Token: before, EndsComplete: true})
-	must.Greater(t, before, b.holder.workerToken())
-	must.False(t, b.holder.settled())
+// Guards against a restarted worker that carries out a start which was meant for its earlier incarnation.
+func TestTokenRisesWithEachIncarnation(t *testing.T) {
+	f := newFixture(t)
+	before := f.holder.workerToken()
+	f.workerStart = f.now
+	f.step(PollResult{Answer: f.answer(), Token: before, EndsComplete: true})
+	must.Greater(t, before, f.holder.workerToken())
+	must.False(t, f.holder.settled())
 }
--- a/agent/leaseholder/note.go
+++ b/agent/leaseholder/logevent.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// LogEvent is one decision for the log.
+// LogEvent is a decision to be logged.
 type LogEvent struct {
 	Event  string
 	Task   string
--- /dev/null
+++ b/agent/leaseholder/polling.go
@@ -0,0 +1,211 @@
+package leaseholder
+
+import (
+	"time"
+
+	"oleandertally/core/specifier"
+)
+
+// mayPoll reports whether a controller has sent its token, without which the worker carries out no call. The worker need not
+// have announced itself: after a restart of the agent, the leases would end before the next announcement.
+func (l *LeaseHolder) mayPoll() bool { return l.token > 0 }
+
+// poll asks the worker for its runs and extends their leases as far as the grant allows.
+func (l *LeaseHolder) poll() {
+	poll := Poll{Token: l.workerToken(), Acknowledged: l.acknowledged, Wait: pollWait, WorkerID: l.WorkerID()}
+	if !l.clock.known() || len(l.ends) > 0 {
+		poll.Wait = 0
+	}
+	if l.clock.known() && l.now.Before(l.grantEnd) && l.now.Before(l.answeredAt.Add(workerTimeout)) {
+		poll.LeaseEnd = l.maxLeaseEnd()
+		l.leaseEnd = max(l.leaseEnd, poll.LeaseEnd)
+	}
+	l.polling, l.pausedUntil = true, time.Time{}
+	l.emit(poll)
+}
+
+// pollAnswered applies the result of a poll.
+func (l *LeaseHolder) pollAnswered(result PollResult) {
+	if !result.Immediate {
+		l.polling = false
+		l.pollAt = l.now
+	}
+	if !l.accept(result.Answer) || result.Refused || result.OtherIncarnation {
+		if !result.Immediate {
+			if l.failedPolls++; l.failedPolls >= maxFailedPolls {
+				l.pollAt = l.now.Add(retryInterval)
+			}
+			if l.now.After(l.answeredAt.Add(unreachableTimeout)) {
+				l.pollAt = l.now.Add(unreachableRetryInterval)
+			}
+		} else {
+			l.stopUnanswered(result.CalledAt)
+		}
+		return
+	}
+	l.answeredAt, l.failedPolls = l.now, 0
+	becameSettled := result.Token == l.workerToken() && l.polledToken != result.Token
+	l.polledToken = max(l.polledToken, result.Token)
+	newEnds := l.addEnds(result.Ends)
+	// The ends are reported before the list of runs: a run that is not listed and has no end would be started again.
+	if len(newEnds) > 0 {
+		l.report(specifier.LeaseReport{Ends: newEnds})
+	}
+	l.compareRuns(result)
+	if becameSettled {
+		l.renewIfConnected()
+	}
+	if len(l.ends) > 0 && !result.Immediate {
+		l.pausedUntil = l.now.Add(acknowledgeTimeout)
+		l.pollAt = l.pausedUntil
+	}
+}
+
+// workerRestarted drops the runs, the ends and the clock of an earlier incarnation of the worker.
+func (l *LeaseHolder) workerRestarted(startedAt time.Time) {
+	if !l.startedAt.IsZero() {
+		l.emit(LogEvent{Event: "WorkerReborn", Detail: l.WorkerID(), Count: len(l.runs)})
+	}
+	l.startedAt = startedAt
+	l.incarnations++
+	l.restartLeaseEnd = l.now.Add(time.Duration(float64(l.MaxLease)/minClockRate) + maxStartTime)
+	l.ends, l.lastListed, l.acknowledged, l.leaseEnd = nil, 0, 0, 0
+	l.clock = workerClock{}
+	for key, run := range l.runs {
+		if run.state == runRunning {
+			delete(l.runs, key)
+		}
+	}
+	if l.worker != nil && !l.worker.Born.Equal(startedAt) {
+		// The new incarnation may be of another kind: it gets no work before it has announced itself.
+		next := *l.worker
+		next.Born, next.Draining = startedAt, true
+		l.worker, l.sequence, l.workerChanged = &next, 0, true
+		l.renewIfConnected()
+	}
+	if l.token > 0 {
+		l.pollNow()
+	}
+}
+
+// accept applies the clock reading of an answer and detects a restart of the worker. It reports whether there was an answer
+// and whether it came from the newest incarnation.
+func (l *LeaseHolder) accept(answer Answer) bool {
+	if answer.Lost || answer.StartedAt.Before(l.startedAt) && !answer.StartedAt.IsZero() {
+		return false
+	}
+	if !answer.StartedAt.IsZero() && !answer.StartedAt.Equal(l.startedAt) {
+		l.workerRestarted(answer.StartedAt)
+	}
+	l.clock.read(answer.Clock, l.now)
+	return true
+}
+
+// addEnds records the ends that were not listed before, and returns them.
+func (l *LeaseHolder) addEnds(ends []specifier.RunEnd) []specifier.RunEnd {
+	var added []specifier.RunEnd
+	for _, end := range ends {
+		if end.Number <= l.lastListed {
+			continue
+		}
+		l.lastListed = end.Number
+		added = append(added, end)
+		delete(l.runs, end.Key)
+	}
+	l.ends = append(l.ends, added...)
+	return added
+}
+
+// compareRuns updates the agent's runs to match those that the worker lists.
+func (l *LeaseHolder) compareRuns(result PollResult) {
+	listed := make(map[specifier.RunKey]bool, len(result.Runs))
+	for _, each := range result.Runs {
+		listed[each.Key] = true
+		run := l.runs[each.Key]
+		if run == nil {
+			if l.endedBefore(each.Key) {
+				continue
+			}
+			run = &trackedRun{LeasedRun: each, confirmedAt: result.CalledAt}
+			l.runs[each.Key] = run
+			l.emit(LogEvent{Event: "RunFound", Task: each.Key.Task, Run: each.Key.Run})
+		}
+		run.Saved = each.Saved
+		if run.state != runRunning {
+			run.state, run.confirmedAt = runRunning, l.now
+			if run.stopping && run.stopRetryAt.IsZero() {
+				l.stop(run)
+			}
+		}
+	}
+	for _, run := range l.sorted() {
+		if !listed[run.Key] {
+			l.runNotListed(run, result)
+		}
+	}
+}
+
+// endedBefore reports whether the worker has already listed an end of the run: a delayed list may still contain the run.
+func (l *LeaseHolder) endedBefore(key specifier.RunKey) bool {
+	for _, end := range l.ends {
+		if end.Key == key {
+			return true
+		}
+	}
+	return false
+}
+
+// runNotListed handles a run that the worker did not list.
+func (l *LeaseHolder) runNotListed(run *trackedRun, result PollResult) {
+	switch run.state {
+	case runRunning:
+		if result.EndsComplete && run.confirmedAt.Before(result.CalledAt) {
+			l.drop(run, specifier.EndLapsed)
+		}
+	case runUnanswered:
+		if !run.stoppedAt.IsZero() && run.stoppedAt.Before(result.CalledAt) || result.Clock > run.leaseEnd {
+			l.drop(run, specifier.EndUnanswered)
+		} else if !run.stopping {
+			l.stop(run)
+		}
+	}
+}
+
+// stopUnanswered stops the runs whose start was not answered. It is called when an immediate poll has no answer either.
+func (l *LeaseHolder) stopUnanswered(calledAt time.Time) {
+	for _, run := range l.sorted() {
+		if run.state == runUnanswered && !run.stopping {
+			l.stop(run)
+		}
+	}
+}
+
+// drop deletes a run for which the worker has listed no end, and reports it to the controller.
+func (l *LeaseHolder) drop(run *trackedRun, kind specifier.EndKind) {
+	delete(l.runs, run.Key)
+	l.emit(LogEvent{Event: "RunGone", Task: run.Key.Task, Run: run.Key.Run, Detail: kind.String()})
+	l.refuse(run.Key, kind)
+}
+
+// leasesEndAt returns when every lease that was requested has certainly ended, or zero if there are no runs other than those
+// whose start is still under way, or the worker's clock is unknown. Each answer of the worker postpones this time.
+func (l *LeaseHolder) leasesEndAt() time.Time {
+	leased := false
+	for _, run := range l.runs {
+		leased = leased || run.state != runStarting
+	}
+	if !leased || !l.clock.known() {
+		return time.Time{}
+	}
+	return later(later(l.clock.reachedBy(l.leaseEnd).Add(lapseMargin), l.answeredAt.Add(workerTimeout)), l.restartLeaseEnd)
+}
+
+// leasesEnded drops every run, except those whose start is still under way: the leases have ended.
+func (l *LeaseHolder) leasesEnded() {
+	l.emit(LogEvent{Event: "LeasesEnded", Age: l.now.Sub(l.answeredAt), Count: len(l.runs)})
+	for _, run := range l.sorted() {
+		if run.state != runStarting {
+			l.drop(run, specifier.EndLapsed)
+		}
+	}
+}
--- a/agent/leaseholder/report.go
+++ b/agent/leaseholder/report.go
@@ -2,5 +2,5 @@
 
 import "oleandertally/core/specifier"
 
-// Report goes to the leading controller.
+// Report sends a report to the leading controller.
 type Report struct{ Report specifier.LeaseReport }
--- a/agent/leaseholder/runstate.go
+++ b/agent/leaseholder/runstate.go
@@ -3,7 +3,7 @@
 type runState uint8
 
 const (
-	runStarting   runState = iota // the start is under way
-	runUnanswered                 // its answer is lost: it may run, or may start until its lease ends
+	runStarting   runState = iota // the call to start the run is under way
+	runUnanswered                 // the answer is lost: the run may exist, or may begin until its lease ends
 	runRunning
 )
--- /dev/null
+++ b/agent/leaseholder/session.go
@@ -0,0 +1,115 @@
+package leaseholder
+
+import (
+	"time"
+
+	"oleandertally/core/specifier"
+)
+
+// connect begins a session with a leading controller, which gets a complete list of the agent's runs and ends.
+func (l *LeaseHolder) connect() {
+	l.connected, l.orders = true, 0
+	clear(l.renewals)
+	l.workerChanged = true
+	l.renew()
+}
+
+// renew asks for a grant and lists the runs and ends.
+func (l *LeaseHolder) renew() {
+	l.renewal++
+	l.renewals[l.renewal] = l.now
+	delete(l.renewals, l.renewal-maxPendingRenewals)
+	l.renewAt = l.now.Add(renewInterval)
+	report := specifier.LeaseReport{Renewal: l.renewal, Listed: true}
+	for _, run := range l.sorted() {
+		listed := run.LeasedRun
+		listed.Starting = run.state != runRunning
+		report.Runs = append(report.Runs, listed)
+	}
+	report.Ends = l.ends // a new leader may not have received them
+	l.report(report)
+}
+
+// report adds the fields that the controller needs in every report, and sends the report.
+func (l *LeaseHolder) report(report specifier.LeaseReport) {
+	if !l.connected {
+		return
+	}
+	report.Agent, report.Incarnation, report.Orders, report.Leaving = l.Name, l.Incarnation, l.orders, l.leaving
+	report.Settled, report.Token = l.settled(), l.token
+	if l.workerChanged || report.Listed {
+		report.Worker = l.worker
+		l.workerChanged = false
+	}
+	l.emit(Report{Report: report})
+}
+
+// orderReceived carries out an order. Orders of an earlier leader are ignored.
+func (l *LeaseHolder) orderReceived(order specifier.LeaseOrder) {
+	if order.Token < l.token || !l.connected {
+		return
+	}
+	l.adoptToken(order.Token)
+	if sent, known := l.renewals[order.Granted]; known && order.Granted > 0 {
+		l.grantEnd = later(l.grantEnd, sent.Add(l.GrantSpan))
+		delete(l.renewals, order.Granted)
+	}
+	l.orders = order.Orders
+	for _, key := range order.Stops {
+		if run := l.runs[key]; run != nil {
+			l.stop(run)
+		}
+	}
+	for _, start := range order.Starts {
+		l.start(start)
+	}
+	if l.worker != nil && order.Noted > l.acknowledged && order.NotedBorn.Equal(l.worker.Born) {
+		l.acknowledge(order.Noted)
+	}
+}
+
+// acknowledge deletes the ends that the controller has recorded. Once none is left, the next poll need not wait longer.
+func (l *LeaseHolder) acknowledge(number uint64) {
+	l.acknowledged = number
+	for len(l.ends) > 0 && l.ends[0].Number <= number {
+		l.ends = l.ends[1:]
+	}
+	if len(l.ends) == 0 && !l.pausedUntil.IsZero() {
+		l.pausedUntil, l.pollAt = time.Time{}, l.now
+	}
+}
+
+// adoptToken adopts the token of a new leader, or a higher one for this process, and polls the worker at once: once the
+// worker has answered, it carries out no start with an earlier token.
+func (l *LeaseHolder) adoptToken(token uint64) {
+	if token == l.token {
+		return
+	}
+	l.token = token
+	l.pollNow()
+}
+
+// tokenFactor is the factor of the controller's token in the token that the worker receives.
+const tokenFactor = 64
+
+// workerToken returns the token for calls to the worker. It rises with each incarnation of the worker, so that a restarted
+// worker carries out no start that was meant for an earlier incarnation.
+func (l *LeaseHolder) workerToken() uint64 {
+	return l.token*tokenFactor + min(l.incarnations, tokenFactor-1)
+}
+
+// settled reports whether every run that may exist at the worker is in the agent's list. Without an answer of the worker,
+// this is certain once every lease that this process or an earlier one requested has ended.
+func (l *LeaseHolder) settled() bool {
+	if l.token > 0 && l.polledToken == l.workerToken() {
+		return true
+	}
+	return len(l.runs) == 0 && !l.now.Before(later(l.StartedAt, l.answeredAt).Add(settleDelay))
+}
+
+func later(a, b time.Time) time.Time {
+	if b.After(a) {
+		return b
+	}
+	return a
+}
--- a/agent/leaseholder/started.go
+++ b/agent/leaseholder/started.go
@@ -2,10 +2,10 @@
 
 import "oleandertally/core/specifier"
 
-// Started answers Start.
+// Started is the answer to Start.
 type Started struct {
 	Answer
 	Key     specifier.RunKey
 	Refused bool
-	Kind     specifier.EndKind // when refused
+	Kind    specifier.EndKind // why the start was refused
 }
--- a/agent/leaseholder/stopped.go
+++ b/agent/leaseholder/stopped.go
@@ -2,7 +2,7 @@
 
 import "oleandertally/core/specifier"
 
-// Stopped answers Stop.
+// Stopped is the answer to Stop.
 type Stopped struct {
 	Answer
 	Key     specifier.RunKey
--- a/agent/leaseholder/unlinked.go
+++ /dev/null
@@ -1,4 +0,0 @@
-package leaseholder
-
-// Disconnected tells that the stream ended.
-type Disconnected struct{}
--- a/agent/leaseholder/workerclock.go
+++ b/agent/leaseholder/workerclock.go
@@ -5,28 +5,28 @@
 // workerClock estimates the clock of a worker, which may run slower than the agent's.
 type workerClock struct {
 	reading time.Duration
-	at      time.Time // when the reading arrived; zero before the first
+	readAt  time.Time // when the reading arrived; zero before the first
 }
 
 const (
-	// slowest is the rate of the slowest clock of a worker against the agent's.
-	slowest = 0.98
+	// minClockRate is the rate of the slowest worker clock, relative to the agent's clock.
+	minClockRate = 0.98
 )
 
-func (c *workerClock) known() bool { return !c.at.IsZero() }
+func (c *workerClock) known() bool { return !c.readAt.IsZero() }
 
 func (c *workerClock) read(reading time.Duration, now time.Time) {
 	if reading > 0 {
-		c.reading, c.at = reading, now
+		c.reading, c.readAt = reading, now
 	}
 }
 
-// least returns a time that the worker's clock has reached at now.
-func (c *workerClock) least(now time.Time) time.Duration {
-	return c.reading + time.Duration(slowest*float64(max(now.Sub(c.at), 0)))
+// minReading returns a reading that the worker's clock has certainly reached at now.
+func (c *workerClock) minReading(now time.Time) time.Duration {
+	return c.reading + time.Duration(minClockRate*float64(max(now.Sub(c.readAt), 0)))
 }
 
-// surely returns when the worker's clock has reached a reading, at the latest.
-func (c *workerClock) surely(reading time.Duration) time.Time {
-	return c.at.Add(time.Duration(float64(max(reading-c.reading, 0)) / slowest))
+// reachedBy returns the latest time at which the worker's clock reaches the reading.
+func (c *workerClock) reachedBy(reading time.Duration) time.Time {
+	return c.readAt.Add(time.Duration(float64(max(reading-c.reading, 0)) / minClockRate))
 }
