--- a/agent/executor/action.go
+++ b/agent/executor/action.go
@@ -1,4 +1,4 @@
 package executor
 
-// Action is something that the agent does.
+// Action is an output of the executor.
 type Action interface{ action() }
--- a/agent/executor/announce.go
+++ b/agent/executor/announce.go
@@ -2,7 +2,7 @@
 
 import "oleandertally/core/specifier"
 
-// Announce tells the controllers and every linked entry that the slots changed.
+// Announce sends the load to the controllers and every connected entry when the number of offered slots changes.
 type Announce struct {
 	Load specifier.Load
 }
--- a/agent/executor/assigned.go
+++ b/agent/executor/assigned.go
@@ -9,11 +9,11 @@
 // Assigned asks the agent to run a task.
 type Assigned struct {
 	Entry    specifier.Identity
-	Stream     uint64
+	Stream   uint64
 	Key      specifier.TaskKey
 	Epoch    specifier.Epoch
 	Payload  []byte
-	Order    time.Time // the task's order key, on this agent's clock
+	Order    time.Time // queue order key of the task, on this agent's clock
 	Deadline time.Time
 	Profile  string
 }
--- a/agent/executor/assignment.go
+++ b/agent/executor/assignment.go
@@ -9,7 +9,7 @@
 )
 
 func (x *Executor) assigned(now time.Time, e Assigned) {
-	if x.links[e.Entry] != e.Stream {
+	if x.streams[e.Entry] != e.Stream {
 		return
 	}
 	job := x.jobs[e.Key.Job]
@@ -19,33 +19,33 @@
 			return
 		}
 		if known := job.find(e.Key.Task); known != nil {
-			x.repeated(job, known, e)
+			x.assignedAgain(job, known, e)
 			return
 		}
 	}
-	if cause := x.unfit(now, e); cause != "" {
+	if cause := x.refusalCause(now, e); cause != "" {
 		x.refuse(e, cause)
 		return
 	}
-	job = x.hold(e.Key.Job, e.Epoch, e.Entry, e.Deadline)
-	task := &record{task: e.Key.Task, epoch: e.Epoch, state: specifier.TaskQueued,
+	job = x.recordJob(e.Key.Job, e.Epoch, e.Entry, e.Deadline)
+	task := &taskRecord{task: e.Key.Task, epoch: e.Epoch, state: specifier.TaskQueued,
 		attempt: &attempt{payload: e.Payload, profile: e.Profile, deadline: e.Deadline, queued: now}}
 	job.tasks = append(job.tasks, task)
 	x.queue.Push(now, orderer.Entry{Key: orderer.Key{At: e.Order, Job: e.Key.Job, Task: e.Key.Task}, Deadline: e.Deadline,
-		Class: x.learned.Class(e.Profile, x.profiles[e.Profile].TypicalTime), Profile: e.Profile})
-	x.note(recorder.TaskQueued, e.Key.Job, task, e.Entry.Name, "")
+		Class: x.classifier.Class(e.Profile, x.profiles[e.Profile].TypicalTime), Profile: e.Profile})
+	x.recordEvent(recorder.TaskQueued, e.Key.Job, task, e.Entry.Name, "")
 }
 
-// repeated handles a task that is held already: it is never started again.
-func (x *Executor) repeated(job *holding, known *record, e Assigned) {
+// assignedAgain handles a task that the agent already has: the task is never started a second time.
+func (x *Executor) assignedAgain(job *jobRecord, known *taskRecord, e Assigned) {
 	job.owner, job.epoch, known.epoch = e.Entry, e.Epoch, e.Epoch
 	if known.state == specifier.TaskEnded || known.state == specifier.TaskBroken {
-		x.tell(e.Key.Job, job, known)
+		x.reportDone(e.Key.Job, job, known)
 	}
 }
 
-// unfit returns why the agent can't take the task now, or nothing.
-func (x *Executor) unfit(now time.Time, e Assigned) Cause {
+// refusalCause returns why the agent can't take the task now, or "" if it can.
+func (x *Executor) refusalCause(now time.Time, e Assigned) Cause {
 	switch {
 	case x.draining:
 		return Drain
@@ -55,7 +55,7 @@
 		return NoLease
 	case !e.Deadline.After(now):
 		return Late
-	case x.queue.Len() >= x.MaxQueue || x.held >= x.MaxResultBytes:
+	case x.queue.Len() >= x.MaxQueue || x.resultBytes >= x.MaxResultBytes:
 		return Full
 	}
 	return ""
@@ -63,7 +63,7 @@
 
 func (x *Executor) withdrawn(e Withdrawn) {
 	job := x.jobs[e.Job]
-	if x.links[e.Entry] != e.Stream || job == nil || e.Epoch < job.epoch {
+	if x.streams[e.Entry] != e.Stream || job == nil || e.Epoch < job.epoch {
 		return
 	}
 	for _, entry := range x.queue.Remove(e.Job) {
@@ -71,12 +71,12 @@
 	}
 }
 
-// refuse answers an assignment that is not taken. It is recorded unless the agent holds the task, which it
-// then may have started.
+// refuse rejects an assignment. The refusal is recorded in the time line unless the agent already has the task,
+// which then may have started.
 func (x *Executor) refuse(e Assigned, cause Cause) {
 	if job := x.jobs[e.Key.Job]; job == nil || job.find(e.Key.Task) == nil {
-		x.out = append(x.out, RecordEvent{recorder.Event{Kind: recorder.TaskRefused, Job: e.Key.Job, Task: e.Key.Task, Epoch: e.Epoch,
+		x.actions = append(x.actions, RecordEvent{recorder.Event{Kind: recorder.TaskRefused, Job: e.Key.Job, Task: e.Key.Task, Epoch: e.Epoch,
 			Other: e.Entry.Name, Detail: string(cause)}})
 	}
-	x.out = append(x.out, Refused{Entry: e.Entry, Key: e.Key, Epoch: e.Epoch, Cause: cause, Load: x.Load()})
+	x.actions = append(x.actions, Refused{Entry: e.Entry, Key: e.Key, Epoch: e.Epoch, Cause: cause, Load: x.Load()})
 }
--- a/agent/executor/attempt.go
+++ b/agent/executor/attempt.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// attempt is what a task needs until it has ended. Records are kept for minutes after that, so they
-// do not carry it.
+// attempt holds the data that a task needs only until it has ended. It is separate from the task's record, which
+// is kept for minutes after the end.
 type attempt struct {
-	payload  []byte // until started
+	payload  []byte // nil once the task has started
 	profile  string
 	deadline time.Time
 	queued   time.Time
--- a/agent/executor/departure.go
+++ b/agent/executor/departure.go
@@ -7,64 +7,65 @@
 	"oleandertally/core/specifier"
 )
 
-// departure is the state of an agent that leaves. The zero value is that of one that stays.
+// departure is the state of an agent's shutdown. The zero value is that of an agent that is not leaving.
 type departure struct {
-	asked  bool                        // Leaving came
-	ended  bool                        // nothing was queued or running any more
-	left   bool                        // every entry has released the agent
-	awaits map[specifier.Identity]bool // entries that have not released it
-	broken map[specifier.Identity]bool // entries whose stream broke and that have not come back
+	requested           bool                        // the Leaving event has arrived
+	workFinished        bool                        // no task is queued or running
+	allReleased         bool                        // every entry has released the agent
+	unreleased          map[specifier.Identity]bool // entries that have not released the agent
+	disconnectedEntries map[specifier.Identity]bool // entries whose stream has ended and that have not reconnected
 }
 
-// unlinked remembers an entry that may wait for results that were lost with its stream.
-func (d *departure) unlinked(entry specifier.Identity) {
-	if d.broken == nil {
-		d.broken = make(map[specifier.Identity]bool)
+// disconnected records an entry that may wait for results that were lost with its stream.
+func (d *departure) disconnected(entry specifier.Identity) {
+	if d.disconnectedEntries == nil {
+		d.disconnectedEntries = make(map[specifier.Identity]bool)
 	}
-	d.broken[entry] = true
+	d.disconnectedEntries[entry] = true
 }
 
-// linked forgets a broken stream, also that of an earlier run of the entry, which waits for nothing.
-func (d *departure) linked(entry specifier.Identity) {
-	for other := range d.broken {
+// connected deletes the entry from the disconnected ones. This includes its earlier incarnations, which wait for nothing.
+func (d *departure) connected(entry specifier.Identity) {
+	for other := range d.disconnectedEntries {
 		if other.Name == entry.Name {
-			delete(d.broken, other)
-			delete(d.awaits, other)
+			delete(d.disconnectedEntries, other)
+			delete(d.unreleased, other)
 		}
 	}
 }
 
-// depart goes on with the departure once nothing is queued or running.
+// depart continues the departure once no task is queued or running.
 func (x *Executor) depart() {
-	if !x.departure.asked || !x.Idle() {
+	if !x.departure.requested || !x.Idle() {
 		return
 	}
-	if !x.departure.ended {
-		x.departure.ended = true
-		x.departure.awaits = make(map[specifier.Identity]bool)
-		maps.Copy(x.departure.awaits, x.departure.broken)
-		x.out = append(x.out, WorkFinished{})
-		for _, entry := range slices.SortedFunc(maps.Keys(x.links), specifier.Identity.Compare) {
+	if !x.departure.workFinished {
+		x.departure.workFinished = true
+		x.departure.unreleased = make(map[specifier.Identity]bool)
+		maps.Copy(x.departure.unreleased, x.departure.disconnectedEntries)
+		x.actions = append(x.actions, WorkFinished{})
+		for _, entry := range slices.SortedFunc(maps.Keys(x.streams), specifier.Identity.Compare) {
 			x.requestRelease(entry)
 		}
 	}
-	if len(x.departure.awaits) == 0 && !x.departure.left {
-		x.departure.left = true
-		x.out = append(x.out, AllReleased{})
+	if len(x.departure.unreleased) == 0 && !x.departure.allReleased {
+		x.departure.allReleased = true
+		x.actions = append(x.actions, AllReleased{})
 	}
 }
 
-// requestRelease asks an entry for its release, also on a new stream, since the answer to the last one may be
-// lost. An entry whose stream is broken stays awaited: it asks for its results when it comes back.
+// requestRelease asks an entry for its release once the work has finished. The request is repeated on a new stream, since
+// the answer to the last one may be lost. An entry whose stream has ended is still waited for: it asks for its
+// results when it reconnects.
 func (x *Executor) requestRelease(entry specifier.Identity) {
-	if x.departure.ended {
-		x.departure.awaits[entry] = true
-		x.out = append(x.out, RequestRelease{Entry: entry, Load: x.Load()})
+	if x.departure.workFinished {
+		x.departure.unreleased[entry] = true
+		x.actions = append(x.actions, RequestRelease{Entry: entry, Load: x.Load()})
 	}
 }
 
 func (x *Executor) released(e Released) {
-	if x.links[e.Entry] == e.Stream {
-		delete(x.departure.awaits, e.Entry)
+	if x.streams[e.Entry] == e.Stream {
+		delete(x.departure.unreleased, e.Entry)
 	}
 }
--- a/agent/executor/unlinked.go
+++ b/agent/executor/disconnected.go
@@ -4,8 +4,8 @@
 
 // Disconnected reports that a stream from an entry ended.
 type Disconnected struct {
-	Entry specifier.Identity
-	Stream  uint64
+	Entry  specifier.Identity
+	Stream uint64
 }
 
 func (Disconnected) event() {}
--- a/agent/executor/done.go
+++ b/agent/executor/done.go
@@ -6,7 +6,7 @@
 	"oleandertally/core/specifier"
 )
 
-// Done tells the job's owner that a task ended.
+// Done reports the end of a task to the entry that owns the job.
 type Done struct {
 	Entry   specifier.Identity
 	Key     specifier.TaskKey
@@ -15,7 +15,7 @@
 	Body    []byte
 	Detail  string
 	RunTime time.Duration
-	Waited  time.Duration // in the agent's queue
+	Waited  time.Duration // time in the agent's queue
 	Load    specifier.Load
 }
 
--- a/agent/executor/draining.go
+++ b/agent/executor/draining.go
@@ -1,6 +1,6 @@
 package executor
 
-// Draining reports whether the agent takes new work.
+// Draining reports whether the controllers have set the agent to drain, so that it takes no new work.
 type Draining struct {
 	On bool
 }
--- a/agent/executor/event.go
+++ b/agent/executor/event.go
@@ -1,4 +1,4 @@
 package executor
 
-// Event is something that happened to the agent.
+// Event is an input of the executor.
 type Event interface{ event() }
--- a/agent/executor/executor.go
+++ b/agent/executor/executor.go
@@ -13,56 +13,56 @@
 
 // Executor is the control state of an agent. Exported fields are set before the first Step.
 type Executor struct {
-	// MaxQueue is the most tasks that wait here; more are refused.
+	// MaxQueue bounds the number of queued tasks; further ones are refused.
 	MaxQueue int
-	// MaxResultBytes bounds the results kept for repeats; new tasks are refused beyond it, since a
-	// result that was answered once must be there for a repeat.
+	// MaxResultBytes bounds the results that are kept to be sent again. Beyond it new tasks are refused, since a result that
+	// was sent once must stay available.
 	MaxResultBytes int
 
-	jobs      map[specifier.JobID]*holding
-	queue     orderer.Queue
-	learned   classifier.Classifier
-	reports   orderer.Reporter[specifier.Identity]
-	profiles  map[string]specifier.Profile
-	expiring  container.Heap[expiry]
-	links     map[specifier.Identity]uint64
-	upstream  netip.AddrPort
-	slots     int       // 0 while the upstream is absent
-	lapse     time.Time // when the upstream's announcement ends
-	held      int
-	lease     time.Time
-	now       time.Time // of the present step
-	draining  bool
-	departure departure
-	out       []Action
+	jobs          map[specifier.JobID]*jobRecord
+	queue         orderer.Queue
+	classifier    classifier.Classifier
+	reports       orderer.Reporter[specifier.Identity]
+	profiles      map[string]specifier.Profile
+	expiries      container.Heap[expiry]
+	streams       map[specifier.Identity]uint64
+	upstream      netip.AddrPort
+	slots         int       // 0 while the upstream is absent
+	upstreamUntil time.Time // end of the upstream's announcement
+	resultBytes   int       // size of the results that are kept
+	leaseEnd      time.Time
+	now           time.Time // time of the current step
+	draining      bool
+	departure     departure
+	actions       []Action
 }
 
 // New returns an executor without an upstream or a lease.
-func New(queueBound, heldBytes int) *Executor {
+func New(maxQueue, maxResultBytes int) *Executor {
 	return &Executor{
-		MaxQueue: queueBound,
-		MaxResultBytes:  heldBytes,
-		jobs:       make(map[specifier.JobID]*holding),
-		expiring:   container.Heap[expiry]{Less: expiry.less},
-		links:      make(map[specifier.Identity]uint64),
+		MaxQueue:       maxQueue,
+		MaxResultBytes: maxResultBytes,
+		jobs:           make(map[specifier.JobID]*jobRecord),
+		expiries:       container.Heap[expiry]{Less: expiry.less},
+		streams:        make(map[specifier.Identity]uint64),
 	}
 }
 
 // Step handles one event.
 func (x *Executor) Step(now time.Time, event Event) []Action {
-	x.out, x.now = nil, now
+	x.actions, x.now = nil, now
 	switch event := event.(type) {
 	case Connected:
-		x.links[event.Entry] = event.Stream
+		x.streams[event.Entry] = event.Stream
 		x.reports.Add(now, event.Entry, x.Load())
-		x.departure.linked(event.Entry)
-		x.out = append(x.out, SendLoad{Entry: event.Entry, Load: x.Load()})
+		x.departure.connected(event.Entry)
+		x.actions = append(x.actions, SendLoad{Entry: event.Entry, Load: x.Load()})
 		x.requestRelease(event.Entry)
 	case Disconnected:
-		if x.links[event.Entry] == event.Stream {
-			delete(x.links, event.Entry)
+		if x.streams[event.Entry] == event.Stream {
+			delete(x.streams, event.Entry)
 			x.reports.Remove(event.Entry)
-			x.departure.unlinked(event.Entry)
+			x.departure.disconnected(event.Entry)
 		}
 	case Assigned:
 		x.assigned(now, event)
@@ -79,86 +79,86 @@
 	case Leased:
 		x.leaseRenewed(now, event.Until)
 	case Draining:
-		x.drain(event.On || x.departure.asked)
+		x.drain(event.On || x.departure.requested)
 	case Configured:
 		x.profiles = event.Profiles
 		x.queue.LongShare = longShare(event.Profiles)
 	case Leaving:
-		x.departure.asked = true
+		x.departure.requested = true
 		x.drain(true)
 	case Released:
 		x.released(event)
 	case Pinged:
-		x.out = append(x.out, Ponged(event))
+		x.actions = append(x.actions, Ponged(event))
 	}
 	x.start(now)
 	x.reportLoad(now)
 	x.depart()
-	return x.out
+	return x.actions
 }
 
-// Expire refuses what is too late and forgets the records whose time is over.
+// Expire refuses queued tasks that can no longer run and deletes expired records.
 func (x *Executor) Expire(now time.Time) []Action {
-	x.out, x.now = nil, now
+	x.actions, x.now = nil, now
 	if !x.leased(now) {
 		x.refuseQueued(NoLease)
 	}
-	if !x.lapse.After(now) {
+	if !x.upstreamUntil.After(now) {
 		x.upstreamDown()
 	}
 	for _, late := range x.queue.Expire(now) {
 		x.dropTask(late.TaskKey(), Late)
 	}
 	for {
-		next, ok := x.expiring.Peek()
+		next, ok := x.expiries.Peek()
 		if !ok || next.at.After(now) {
 			break
 		}
-		x.expiring.Pop()
+		x.expiries.Pop()
 		x.expire(now, next.job)
 	}
 	x.start(now)
 	x.reportLoad(now)
 	x.depart()
-	return x.out
+	return x.actions
 }
 
 // Next returns the earliest deadline.
 func (x *Executor) Next() time.Time {
 	var next time.Time
-	sooner := func(at time.Time) {
+	consider := func(at time.Time) {
 		if next.IsZero() || at.Before(next) {
 			next = at
 		}
 	}
-	if first, ok := x.expiring.Peek(); ok {
-		sooner(first.at)
+	if first, ok := x.expiries.Peek(); ok {
+		consider(first.at)
 	}
 	if x.queue.Len() > 0 {
-		sooner(x.lease)
+		consider(x.leaseEnd)
 		if at := x.queue.Next(); !at.IsZero() {
-			sooner(at)
+			consider(at)
 		}
 	}
 	if at := x.reports.Next(x.Load()); !at.IsZero() {
-		sooner(at)
+		consider(at)
 	}
 	if x.slots > 0 {
-		sooner(x.lapse)
+		consider(x.upstreamUntil)
 	}
 	return next
 }
 
-// leaseRenewed tells the entries when the agent takes work again after its lease had ended.
+// leaseRenewed announces the load if the agent takes work again after its lease had ended.
 func (x *Executor) leaseRenewed(now time.Time, until time.Time) {
-	was := x.leased(now)
-	x.lease = until
-	if !was && x.slots > 0 {
-		x.out = append(x.out, Announce{Load: x.Load()})
+	wasLeased := x.leased(now)
+	x.leaseEnd = until
+	if !wasLeased && x.slots > 0 {
+		x.actions = append(x.actions, Announce{Load: x.Load()})
 	}
 }
 
-// Load returns the agent's count of its work, without slots while it takes none.
+// Load returns the number of slots and of running and queued tasks. Slots is 0 while the agent takes no work.
 func (x *Executor) Load() specifier.Load {
 	slots := x.slots
 	if x.draining || !x.leased(x.now) {
@@ -167,27 +167,27 @@
 	return specifier.Load{Slots: slots, Running: x.queue.Running(), Queued: x.queue.Len()}
 }
 
-// Idle reports whether nothing is queued or running.
+// Idle reports whether no task is queued or running.
 func (x *Executor) Idle() bool { return x.queue.Len() == 0 && x.queue.Running() == 0 }
 
 func (x *Executor) expire(now time.Time, id specifier.JobID) {
 	job := x.jobs[id]
-	if job == nil || job.keep.After(now) {
+	if job == nil || job.keepUntil.After(now) {
 		return
 	}
-	if x.busy(job) {
-		// A task that outlives its record's time keeps the record, so that it is not started again.
-		x.expiring.Push(expiry{at: now.Add(time.Minute), job: id})
+	if x.isRunning(job) {
+		// The record of a running task is kept past its expiry, so that the task is not started again.
+		x.expiries.Push(expiry{at: now.Add(time.Minute), job: id})
 		return
 	}
 	for _, task := range job.tasks {
-		x.held -= len(task.body)
+		x.resultBytes -= len(task.body)
 	}
 	delete(x.jobs, id)
 }
 
-// busy reports whether a task of the job still runs; its record is then kept until it ends.
-func (x *Executor) busy(job *holding) bool {
+// isRunning reports whether a task of the job still runs.
+func (x *Executor) isRunning(job *jobRecord) bool {
 	for _, task := range job.tasks {
 		if task.state == specifier.TaskRunning {
 			return true
@@ -196,8 +196,8 @@
 	return false
 }
 
-func (x *Executor) leased(now time.Time) bool { return now.Before(x.lease) }
+func (x *Executor) leased(now time.Time) bool { return now.Before(x.leaseEnd) }
 
-func (x *Executor) note(kind recorder.Kind, id specifier.JobID, task *record, other, detail string) {
-	x.out = append(x.out, RecordEvent{recorder.Event{Kind: kind, Job: id, Task: task.task, Epoch: task.epoch, Other: other, Detail: detail}})
+func (x *Executor) recordEvent(kind recorder.Kind, id specifier.JobID, task *taskRecord, other, detail string) {
+	x.actions = append(x.actions, RecordEvent{recorder.Event{Kind: kind, Job: id, Task: task.task, Epoch: task.epoch, Other: other, Detail: detail}})
 }
--- a/agent/executor/expiry.go
+++ b/agent/executor/expiry.go
@@ -6,7 +6,7 @@
 	"oleandertally/core/specifier"
 )
 
-// expiry is when the record of a job may be forgotten.
+// expiry is the time at which the record of a job may be deleted.
 type expiry struct {
 	at  time.Time
 	job specifier.JobID
--- a/agent/executor/fenced.go
+++ b/agent/executor/fenced.go
@@ -6,15 +6,15 @@
 	"oleandertally/core/specifier"
 )
 
-// Fenced asks for the agent's record of a job. An epoch above the known one makes the
-// sender the job's owner: the agent then drops what it has not started and refuses lower epochs.
+// Fenced asks for the agent's record of a job. An epoch above the known one makes the sender the job's owner: the
+// agent then drops the job's queued tasks and refuses lower epochs.
 type Fenced struct {
 	Entry    specifier.Identity
-	Stream     uint64
+	Stream   uint64
 	Job      specifier.JobID
 	Epoch    specifier.Epoch
 	Deadline time.Time
-	Mark     uint64 // comes back in Report
+	Mark     uint64 // returned in Report
 }
 
 func (Fenced) event() {}
--- a/agent/executor/fencing.go
+++ b/agent/executor/fencing.go
@@ -8,35 +8,36 @@
 )
 
 func (x *Executor) fenced(now time.Time, e Fenced) {
-	if x.links[e.Entry] != e.Stream {
+	if x.streams[e.Entry] != e.Stream {
 		return
 	}
 	job := x.jobs[e.Job]
 	if job == nil || e.Epoch > job.epoch {
-		x.dropSilently(e.Job)
-		job = x.hold(e.Job, e.Epoch, e.Entry, e.Deadline)
-		x.out = append(x.out, RecordEvent{recorder.Event{Kind: recorder.JobFenced, Job: e.Job, Epoch: e.Epoch, Other: e.Entry.Name}})
+		x.dropQueued(e.Job)
+		job = x.recordJob(e.Job, e.Epoch, e.Entry, e.Deadline)
+		x.actions = append(x.actions, RecordEvent{recorder.Event{Kind: recorder.JobFenced, Job: e.Job, Epoch: e.Epoch, Other: e.Entry.Name}})
 	}
-	x.out = append(x.out, Report{Entry: e.Entry, Job: e.Job, Epoch: job.epoch, Tasks: job.reports(), Mark: e.Mark, Load: x.Load()})
+	x.actions = append(x.actions, Report{Entry: e.Entry, Job: e.Job, Epoch: job.epoch, Tasks: job.reports(), Mark: e.Mark, Load: x.Load()})
 }
 
-// hold returns the record of a job, raised to epoch and kept until after deadline.
-func (x *Executor) hold(id specifier.JobID, epoch specifier.Epoch, owner specifier.Identity, deadline time.Time) *holding {
+// recordJob returns the record of a job, created if necessary, with the given epoch and owner. The record is kept until
+// KeyRetention after the deadline.
+func (x *Executor) recordJob(id specifier.JobID, epoch specifier.Epoch, owner specifier.Identity, deadline time.Time) *jobRecord {
 	job := x.jobs[id]
 	if job == nil {
-		job = &holding{}
+		job = &jobRecord{}
 		x.jobs[id] = job
 	}
 	job.owner, job.epoch = owner, epoch
-	if keep := deadline.Add(specifier.KeyRetention); keep.After(job.keep) {
-		job.keep = keep
-		x.expiring.Push(expiry{at: keep, job: id})
+	if keepUntil := deadline.Add(specifier.KeyRetention); keepUntil.After(job.keepUntil) {
+		job.keepUntil = keepUntil
+		x.expiries.Push(expiry{at: keepUntil, job: id})
 	}
 	return job
 }
 
-// dropSilently drops what has not started of a job whose owner has been replaced.
-func (x *Executor) dropSilently(id specifier.JobID) {
+// dropQueued removes the queued tasks of a job whose owner has been replaced, without a refusal to the former owner.
+func (x *Executor) dropQueued(id specifier.JobID) {
 	for _, entry := range x.queue.Remove(id) {
 		x.jobs[id].remove(entry.Key.Task)
 	}
--- a/agent/executor/leased.go
+++ b/agent/executor/leased.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Leased reports that the controllers extended the agent's lease. Until counts from when the
-// renewal was sent, so that the agent's view ends before the controllers' view does.
+// Leased reports that the controllers extended the agent's lease. Until is calculated from the time at which the renewal
+// was sent, so that the lease ends for the agent before it ends for the controllers.
 type Leased struct {
 	Until time.Time
 }
--- a/agent/executor/leaving.go
+++ b/agent/executor/leaving.go
@@ -1,7 +1,7 @@
 package executor
 
-// Leaving makes the agent take no work for good: it hands back what has not started, waits for what
-// runs, and takes leave of each linked entry.
+// Leaving starts the agent's shutdown: the agent permanently takes no new work, refuses its queued tasks, waits for the
+// running ones, and asks each connected entry for its release.
 type Leaving struct{}
 
 func (Leaving) event() {}
--- a/agent/executor/pinged.go
+++ b/agent/executor/pinged.go
@@ -1,6 +1,6 @@
 package executor
 
-// Pinged asks for Ponged with the same number, which shows that the control goroutine handles events.
+// Pinged asks for Ponged with the same number, as a probe of the control goroutine.
 type Pinged struct {
 	Number uint64
 }
--- a/agent/executor/refused.go
+++ b/agent/executor/refused.go
@@ -2,7 +2,7 @@
 
 import "oleandertally/core/specifier"
 
-// Refused tells an entry that a task did not start here and will not under this epoch.
+// Refused tells an entry that a task has not started on this agent and will not start here under this epoch.
 type Refused struct {
 	Entry specifier.Identity
 	Key   specifier.TaskKey
--- a/agent/executor/released.go
+++ b/agent/executor/released.go
@@ -2,10 +2,10 @@
 
 import "oleandertally/core/specifier"
 
-// Released is an entry's answer to RequestRelease: it counts on nothing more from this agent.
+// Released is an entry's answer to RequestRelease: the entry expects nothing more from this agent.
 type Released struct {
-	Entry specifier.Identity
-	Stream  uint64
+	Entry  specifier.Identity
+	Stream uint64
 }
 
 func (Released) event() {}
--- a/agent/executor/report.go
+++ b/agent/executor/report.go
@@ -2,13 +2,13 @@
 
 import "oleandertally/core/specifier"
 
-// Report answers Fenced with what the agent holds of the job.
+// Report answers Fenced with the agent's records of the job's tasks.
 type Report struct {
 	Entry specifier.Identity
 	Job   specifier.JobID
-	Epoch specifier.Epoch // the highest known here
+	Epoch specifier.Epoch // highest epoch known to the agent
 	Tasks []specifier.TaskReport
-	Mark  uint64 // of the Fenced that it answers
+	Mark  uint64 // from the Fenced event
 	Load  specifier.Load
 }
 
--- a/agent/executor/requestrelease.go
+++ b/agent/executor/requestrelease.go
@@ -2,8 +2,8 @@
 
 import "oleandertally/core/specifier"
 
-// RequestRelease tells an entry that nothing runs or waits here, after every result that it was sent, and
-// asks for Released.
+// RequestRelease tells an entry that no task is queued or running on this agent, and asks for Released. It follows
+// every result that was sent to the entry.
 type RequestRelease struct {
 	Entry specifier.Identity
 	Load  specifier.Load
--- a/agent/executor/run.go
+++ b/agent/executor/run.go
@@ -7,7 +7,7 @@
 	"oleandertally/core/specifier"
 )
 
-// Run calls the upstream with a task. It is performed once for each task.
+// Run calls the upstream with a task. Each task is run at most once.
 type Run struct {
 	Addr     netip.AddrPort
 	Key      specifier.TaskKey
--- a/agent/executor/running.go
+++ b/agent/executor/running.go
@@ -19,8 +19,8 @@
 	}
 	if e.NotStarted {
 		job.remove(e.Key.Task)
-		x.out = append(x.out, Refused{Entry: job.owner, Key: e.Key, Epoch: job.epoch, Cause: NoUpstream, Load: x.Load()})
-		x.note(recorder.TaskRefused, e.Key.Job, task, job.owner.Name, string(NoUpstream))
+		x.actions = append(x.actions, Refused{Entry: job.owner, Key: e.Key, Epoch: job.epoch, Cause: NoUpstream, Load: x.Load()})
+		x.recordEvent(recorder.TaskRefused, e.Key.Job, task, job.owner.Name, string(NoUpstream))
 		x.upstreamDown()
 		return
 	}
@@ -29,15 +29,15 @@
 		task.state = specifier.TaskBroken
 	}
 	task.body, task.detail, task.runTime = e.Body, e.Detail, now.Sub(task.attempt.started)
-	x.held += len(e.Body)
+	x.resultBytes += len(e.Body)
 	if !e.Broken {
-		x.learned.Record(task.attempt.profile, task.runTime)
+		x.classifier.Record(task.attempt.profile, task.runTime)
 	}
 	task.attempt = nil
-	x.note(recorder.TaskEnded, e.Key.Job, task, job.owner.Name, e.Detail)
+	x.recordEvent(recorder.TaskEnded, e.Key.Job, task, job.owner.Name, e.Detail)
 	x.reports.Ended()
-	x.start(now) // first, so that the load in the answer counts what now runs in the free slot
-	x.tell(e.Key.Job, job, task)
+	x.start(now) // before reportDone, so that the load in the result includes the task that fills the free slot
+	x.reportDone(e.Key.Job, job, task)
 }
 
 // start runs queued tasks in the free slots.
@@ -52,28 +52,28 @@
 	for _, entry := range x.queue.Start(now) {
 		job := x.jobs[entry.Key.Job]
 		task := job.find(entry.Key.Task)
-		task.state, task.attempt.started, task.waited = specifier.TaskRunning, now, now.Sub(task.attempt.queued)
-		x.note(recorder.TaskStarted, entry.Key.Job, task, job.owner.Name, "")
-		x.out = append(x.out, Run{Addr: x.upstream, Key: entry.TaskKey(), Epoch: task.epoch, Payload: task.attempt.payload, Deadline: task.attempt.deadline})
+		task.state, task.attempt.started, task.waitTime = specifier.TaskRunning, now, now.Sub(task.attempt.queued)
+		x.recordEvent(recorder.TaskStarted, entry.Key.Job, task, job.owner.Name, "")
+		x.actions = append(x.actions, Run{Addr: x.upstream, Key: entry.TaskKey(), Epoch: task.epoch, Payload: task.attempt.payload, Deadline: task.attempt.deadline})
 		task.attempt.payload = nil
 	}
 }
 
-func (x *Executor) tell(id specifier.JobID, job *holding, task *record) {
-	x.out = append(x.out, Done{Entry: job.owner, Key: specifier.TaskKey{Job: id, Task: task.task}, Epoch: job.epoch, Broken: task.state == specifier.TaskBroken,
-		Body: task.body, Detail: task.detail, RunTime: task.runTime, Waited: task.waited, Load: x.Load()})
+func (x *Executor) reportDone(id specifier.JobID, job *jobRecord, task *taskRecord) {
+	x.actions = append(x.actions, Done{Entry: job.owner, Key: specifier.TaskKey{Job: id, Task: task.task}, Epoch: job.epoch, Broken: task.state == specifier.TaskBroken,
+		Body: task.body, Detail: task.detail, RunTime: task.runTime, Waited: task.waitTime, Load: x.Load()})
 }
 
-// reportLoad tells the entries whose view of this agent is far off.
+// reportLoad sends the load to the entries that know a load which is too far off.
 func (x *Executor) reportLoad(now time.Time) {
 	load := x.Load()
 	for _, entry := range x.reports.Due(now, load) {
-		x.out = append(x.out, SendLoad{Entry: entry, Load: load})
+		x.actions = append(x.actions, SendLoad{Entry: entry, Load: load})
 	}
 }
 
-// longShare returns the smallest share that a profile sets: the slots are shared by all profiles of
-// the upstream.
+// longShare returns the smallest LongShare of the profiles, or 0 if none sets one. All profiles of the upstream share
+// its slots.
 func longShare(profiles map[string]specifier.Profile) float64 {
 	share := 0.0
 	for _, profile := range profiles {
--- a/agent/executor/upstream.go
+++ b/agent/executor/upstream.go
@@ -7,9 +7,9 @@
 
 func (x *Executor) upstreamUp(e UpstreamUp) {
 	changed := x.slots != e.Slots || x.upstream != e.Addr
-	x.upstream, x.slots, x.lapse = e.Addr, e.Slots, e.Until
+	x.upstream, x.slots, x.upstreamUntil = e.Addr, e.Slots, e.Until
 	if changed {
-		x.out = append(x.out, Announce{Load: x.Load()})
+		x.actions = append(x.actions, Announce{Load: x.Load()})
 	}
 }
 
@@ -19,7 +19,7 @@
 	}
 	x.slots = 0
 	x.refuseQueued(NoUpstream)
-	x.out = append(x.out, Announce{Load: x.Load()})
+	x.actions = append(x.actions, Announce{Load: x.Load()})
 }
 
 func (x *Executor) drain(on bool) {
@@ -32,8 +32,8 @@
 		kind = recorder.MemberDraining
 		x.refuseQueued(Drain)
 	}
-	x.out = append(x.out, RecordEvent{recorder.Event{Kind: kind}})
-	x.out = append(x.out, Announce{Load: x.Load()})
+	x.actions = append(x.actions, RecordEvent{recorder.Event{Kind: kind}})
+	x.actions = append(x.actions, Announce{Load: x.Load()})
 }
 
 func (x *Executor) refuseQueued(cause Cause) {
@@ -42,11 +42,11 @@
 	}
 }
 
-// dropTask refuses a task that the queue no longer holds.
+// dropTask refuses a task that was removed from the queue.
 func (x *Executor) dropTask(key specifier.TaskKey, cause Cause) {
 	job := x.jobs[key.Job]
 	task := job.find(key.Task)
 	job.remove(key.Task)
-	x.out = append(x.out, Refused{Entry: job.owner, Key: key, Epoch: job.epoch, Cause: cause, Load: x.Load()})
-	x.note(recorder.TaskRefused, key.Job, task, job.owner.Name, string(cause))
+	x.actions = append(x.actions, Refused{Entry: job.owner, Key: key, Epoch: job.epoch, Cause: cause, Load: x.Load()})
+	x.recordEvent(recorder.TaskRefused, key.Job, task, job.owner.Name, string(cause))
 }
--- a/agent/executor/upstreamdown.go
+++ b/agent/executor/upstreamdown.go
@@ -1,6 +1,6 @@
 package executor
 
-// UpstreamDown reports that the upstream left or its announcement lapsed.
+// UpstreamDown reports that the upstream withdrew its announcement.
 type UpstreamDown struct{}
 
 func (UpstreamDown) event() {}
--- a/agent/executor/upstreamup.go
+++ b/agent/executor/upstreamup.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// UpstreamUp reports that the upstream announced itself. It counts as gone at Until unless it
-// announces itself again.
+// UpstreamUp reports an announcement of the upstream. Without another one, the upstream is treated as absent from Until on.
 type UpstreamUp struct {
 	Addr  netip.AddrPort
 	Slots int
--- a/agent/executor/ended.go
+++ b/agent/executor/workfinished.go
@@ -1,6 +1,6 @@
 package executor
 
-// WorkFinished says, after Leaving, that nothing is queued or running.
+// WorkFinished reports, after Leaving, that no task is queued or running.
 type WorkFinished struct{}
 
 func (WorkFinished) action() {}
