--- a/agent/leaserunner/action.go
+++ b/agent/leaserunner/action.go
@@ -6,9 +6,9 @@
 	"oleandertally/core/looper"
 )
 
-// action is an output of the lease holder, or a waiter to release.
+// action is an output of the lease holder, or the channel of a waiting Leave to close.
 type action struct {
 	control leaseholder.Action
-	box     *looper.Outbox[*encoder.QueueReport]
-	idle    chan<- struct{}
+	outbox  *looper.Outbox[*encoder.QueueReport] // of the current stream; nil while there is none
+	idle    chan<- struct{}                      // closed to let a waiting Leave return
 }
--- a/agent/leaserunner/doc.go
+++ b/agent/leaserunner/doc.go
@@ -1,2 +1,3 @@
-// Package leaserunner runs an agent of the queues: it joins the decisions of leaseholder with the leading controller and the worker.
+// Package leaserunner runs an agent of the queues: it connects leaseholder, which makes the decisions, to the leading controller
+// and the worker.
 package leaserunner
--- a/agent/leaserunner/event.go
+++ b/agent/leaserunner/event.go
@@ -8,8 +8,8 @@
 
 // event is an input of the agent's control goroutine: for the lease holder, or a change of the stream to the controller.
 type event struct {
-	control leaseholder.Event
-	box     *looper.Outbox[*encoder.QueueReport] // of a new stream
-	unlink  bool
-	idle    chan<- struct{} // closed once nothing runs any more
+	control      leaseholder.Event
+	outbox       *looper.Outbox[*encoder.QueueReport] // set for a new stream
+	disconnected bool
+	idle         chan<- struct{} // from Leave; closed once the worker is idle
 }
--- a/agent/leaserunner/machine.go
+++ b/agent/leaserunner/machine.go
@@ -8,11 +8,11 @@
 	"oleandertally/core/looper"
 )
 
-// machine adds the stream to the lease holder.
+// machine is the lease holder together with the current stream to the controller.
 type machine struct {
 	holder  *leaseholder.LeaseHolder
-	box     *looper.Outbox[*encoder.QueueReport]
-	waiting []chan<- struct{}
+	outbox  *looper.Outbox[*encoder.QueueReport]
+	waiting []chan<- struct{} // closed once the worker is idle
 }
 
 // Step handles one event.
@@ -21,11 +21,11 @@
 	case e.idle != nil:
 		m.waiting = append(m.waiting, e.idle)
 		return m.wrap(m.holder.Step(now, leaseholder.Leave{}))
-	case e.box != nil:
-		m.box = e.box
+	case e.outbox != nil:
+		m.outbox = e.outbox
 		return m.wrap(m.holder.Step(now, leaseholder.Connected{}))
-	case e.unlink:
-		m.box = nil
+	case e.disconnected:
+		m.outbox = nil
 		return m.wrap(m.holder.Step(now, leaseholder.Disconnected{}))
 	}
 	return m.wrap(m.holder.Step(now, e.control))
@@ -40,7 +40,7 @@
 func (m *machine) wrap(list []leaseholder.Action) []action {
 	var out []action
 	for _, each := range list {
-		out = append(out, action{control: each, box: m.box})
+		out = append(out, action{control: each, outbox: m.outbox})
 	}
 	if m.holder.Idle() {
 		for _, idle := range m.waiting {
--- a/agent/leaserunner/runner.go
+++ b/agent/leaserunner/runner.go
@@ -21,13 +21,13 @@
 
 const (
 	mailboxSize = 1024
-	// silence is longer than several renewals, each of which the leading controller answers.
-	silence = 400 * time.Millisecond
-	// startWithin and stopWithin bound calls that a worker answers at once.
-	startWithin = 50 * time.Millisecond
-	stopWithin  = 50 * time.Millisecond
-	// holdWithin is added to the time that a hold waits.
-	holdWithin = 50 * time.Millisecond
+	// streamTimeout is longer than several renewal intervals; the leading controller answers each renewal.
+	streamTimeout = 400 * time.Millisecond
+	// startTimeout and stopTimeout are for calls that a worker answers without waiting.
+	startTimeout = 50 * time.Millisecond
+	stopTimeout  = 50 * time.Millisecond
+	// pollMargin is added to the wait time of a poll.
+	pollMargin = 50 * time.Millisecond
 )
 
 // Runner is the process beside a worker. Exported fields are set before Run.
@@ -36,14 +36,14 @@
 	Seeds       []netip.AddrPort // controllers to ask first
 	Credentials credentials.TransportCredentials
 	Worker      Worker
-	GrantSpan   time.Duration // of the controllers
+	GrantSpan   time.Duration // duration of a controller's grant
 	MaxLease    time.Duration // longest lease that the worker gives
 	Clock       func() time.Time
 	Log         zerolog.Logger
-	Logged       func(leaseholder.LogEvent) // told of each decision; must not block; nil for nobody
+	Logged      func(leaseholder.LogEvent) // called with each logged event if not nil; must not block
 
 	mailbox *looper.Mailbox[event]
-	seeker  *locator.Locator[*encoder.QueueOrder, *encoder.QueueReport]
+	locator *locator.Locator[*encoder.QueueOrder, *encoder.QueueReport]
 	calls   *errgroup.Group
 	ctx     context.Context
 }
@@ -56,18 +56,18 @@
 	case r.Worker == nil, r.Clock == nil, r.Credentials == nil:
 		return errors.New("leaserunner: Worker, Clock, Credentials: must be set")
 	case r.GrantSpan <= 0, r.MaxLease <= 0:
-		return errors.New("leaserunner: GrantSpan, HoldMost: expected more than 0")
+		return errors.New("leaserunner: GrantSpan, MaxLease: expected more than 0")
 	}
 	r.mailbox = looper.NewMailbox[event](mailboxSize)
-	r.seeker = &locator.Locator[*encoder.QueueOrder, *encoder.QueueReport]{
-		Seeds: r.Seeds, Credentials: r.Credentials, Silence: silence,
+	r.locator = &locator.Locator[*encoder.QueueOrder, *encoder.QueueReport]{
+		Seeds: r.Seeds, Credentials: r.Credentials, Silence: streamTimeout,
 		Open: func(ctx context.Context, conn *grpc.ClientConn) (locator.Stream[*encoder.QueueOrder, *encoder.QueueReport], error) {
 			return encoder.NewQueueKeeperClient(conn).Attend(ctx)
 		},
 		Welcome: (*encoder.QueueOrder).GetWelcome,
-		Linked: func(ctx context.Context, controller netip.AddrPort, box *looper.Outbox[*encoder.QueueReport]) error {
+		Linked: func(ctx context.Context, controller netip.AddrPort, outbox *looper.Outbox[*encoder.QueueReport]) error {
 			r.Log.Info().Str("Event", "LeaderFound").Stringer("Controller", controller).Send()
-			return r.mailbox.Send(ctx, event{box: box})
+			return r.mailbox.Send(ctx, event{outbox: outbox})
 		},
 		Received: func(ctx context.Context, message *encoder.QueueOrder) error {
 			if message.Welcome != nil {
@@ -77,7 +77,7 @@
 		},
 		Unlinked: func(ctx context.Context, cause error) error {
 			r.Log.Warn().Str("Event", "LeaderLost").AnErr("Error", cause).Send()
-			return r.mailbox.Send(ctx, event{unlink: true})
+			return r.mailbox.Send(ctx, event{disconnected: true})
 		},
 	}
 	return nil
@@ -91,24 +91,24 @@
 		MaxLease: r.MaxLease, StartedAt: r.Clock()}
 	loop := &looper.Loop[event, action]{Machine: &machine{holder: holder}, Mailbox: r.mailbox, Perform: r.perform, Clock: r.Clock}
 	group.Go(func() error { return loop.Run(ctx) })
-	group.Go(func() error { return r.seeker.Run(ctx) })
+	group.Go(func() error { return r.locator.Run(ctx) })
 	return group.Wait()
 }
 
 // SetSeeds replaces the controllers to ask first.
-func (r *Runner) SetSeeds(seeds []netip.AddrPort) { r.seeker.SetSeeds(seeds) }
+func (r *Runner) SetSeeds(seeds []netip.AddrPort) { r.locator.SetSeeds(seeds) }
 
-// Announced passes on what the worker says of itself.
+// Announced forwards an announcement of the worker.
 func (r *Runner) Announced(ctx context.Context, announced leaseholder.Announced) error {
 	return r.mailbox.Send(ctx, event{control: announced})
 }
 
-// Departed passes on that the worker ends.
+// Departed reports that the worker with this ID terminates.
 func (r *Runner) Departed(ctx context.Context, id string) error {
 	return r.mailbox.Send(ctx, event{control: leaseholder.Departed{ID: id}})
 }
 
-// Leave takes no more starts, and returns when nothing runs any more.
+// Leave makes the agent refuse further starts, and returns when nothing runs at the worker any more.
 func (r *Runner) Leave(ctx context.Context) error {
 	idle := make(chan struct{})
 	if err := r.mailbox.Send(ctx, event{idle: idle}); err != nil {
@@ -130,42 +130,42 @@
 	}
 	switch control := a.control.(type) {
 	case leaseholder.Report:
-		if a.box != nil {
-			a.box.Put(encoder.EncodeLeaseReport(control.Report))
+		if a.outbox != nil {
+			a.outbox.Put(encoder.EncodeLeaseReport(control.Report))
 		}
 	case leaseholder.Start:
-		r.call(startWithin, func(ctx context.Context) leaseholder.Event { return r.Worker.Start(ctx, control) })
+		r.call(startTimeout, func(ctx context.Context) leaseholder.Event { return r.Worker.Start(ctx, control) })
 	case leaseholder.Stop:
-		r.call(stopWithin, func(ctx context.Context) leaseholder.Event { return r.Worker.Stop(ctx, control) })
+		r.call(stopTimeout, func(ctx context.Context) leaseholder.Event { return r.Worker.Stop(ctx, control) })
 	case leaseholder.Poll:
-		r.call(control.Wait+holdWithin, func(ctx context.Context) leaseholder.Event { return r.Worker.Poll(ctx, control) })
+		r.call(control.Wait+pollMargin, func(ctx context.Context) leaseholder.Event { return r.Worker.Poll(ctx, control) })
 	case leaseholder.LogEvent:
-		r.logNote(control)
+		r.logEvent(control)
 	}
 }
 
-// call makes one call to the worker on a goroutine of its own.
-func (r *Runner) call(within time.Duration, make func(ctx context.Context) leaseholder.Event) {
+// call makes one call to the worker on its own goroutine.
+func (r *Runner) call(timeout time.Duration, do func(ctx context.Context) leaseholder.Event) {
 	r.calls.Go(func() error {
-		ctx, cancel := context.WithTimeout(r.ctx, within)
+		ctx, cancel := context.WithTimeout(r.ctx, timeout)
 		defer cancel()
-		return r.mailbox.Send(r.ctx, event{control: make(ctx)})
+		return r.mailbox.Send(r.ctx, event{control: do(ctx)})
 	})
 }
 
-func (r *Runner) logNote(note leaseholder.LogEvent) {
+func (r *Runner) logEvent(event leaseholder.LogEvent) {
 	if r.Logged != nil {
-		r.Logged(note)
+		r.Logged(event)
 	}
-	line := r.Log.Info().Str("Event", note.Event)
-	if note.Task != "" {
-		line = line.Str("Job", jobOf(note.Task)).Str("Task", note.Task).Uint64("Run", note.Run)
+	line := r.Log.Info().Str("Event", event.Event)
+	if event.Task != "" {
+		line = line.Str("Job", jobOf(event.Task)).Str("Task", event.Task).Uint64("Run", event.Run)
 	}
-	if note.Detail != "" {
-		line = line.Str("Detail", note.Detail)
+	if event.Detail != "" {
+		line = line.Str("Detail", event.Detail)
 	}
-	if note.Age != 0 {
-		line = line.Dur("AgeMillis", note.Age)
+	if event.Age != 0 {
+		line = line.Dur("AgeMillis", event.Age)
 	}
-	line.Int("Count", note.Count).Send()
+	line.Int("Count", event.Count).Send()
 }
