--- a/agent/invoker/invoker.go
+++ b/agent/invoker/invoker.go
@@ -20,7 +20,7 @@
 	client *http.Client
 }
 
-// New returns an invoker with a pool of its own of at most connections connections.
+// New returns an invoker with its own pool of at most the given number of connections.
 func New(connections int) *Invoker {
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: time.Second}).DialContext,
@@ -60,8 +60,8 @@
 	if err != nil {
 		return nil, 0, errors.Wrap(err, "invoker: build the request")
 	}
-	// No Idempotency-Key header: with one net/http repeats a POST whose connection broke, and
-	// the task could run twice. Without GetBody it can't repeat one at all.
+	// The request has no Idempotency-Key header: with one, net/http repeats a POST whose connection broke, and
+	// the task could run twice. Without GetBody, net/http can't repeat the request at all.
 	request.GetBody = nil
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set("Oleandertally-Job", run.Key.Job.String())
@@ -82,5 +82,5 @@
 	return errors.As(err, &failure) && failure.Op == "dial"
 }
 
-// refuseRedirect keeps a task from being sent to another host.
+// refuseRedirect prevents a redirect from sending the task to another host.
 func refuseRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
--- a/agent/listener/announcer.go
+++ b/agent/listener/announcer.go
@@ -10,8 +10,8 @@
 	"oleandertally/core/specifier"
 )
 
-// announceBound is how long an announcement counts. The upstream repeats it more often.
-const announceBound = 10 * time.Second
+// announcementTimeout is how long an announcement is valid. The upstream repeats it at shorter intervals.
+const announcementTimeout = 10 * time.Second
 
 // Announcer serves the upstream's announcements. Fields are set before use.
 type Announcer struct {
@@ -46,7 +46,7 @@
 		http.Error(w, problems.Error(), http.StatusBadRequest)
 		return
 	}
-	event := executor.UpstreamUp{Addr: announcement.Addr, Slots: announcement.Slots, Until: a.Clock().Add(announceBound)}
+	event := executor.UpstreamUp{Addr: announcement.Addr, Slots: announcement.Slots, Until: a.Clock().Add(announcementTimeout)}
 	if err := a.Sink.Send(r.Context(), event); err != nil {
 		http.Error(w, "the agent is stopping", http.StatusServiceUnavailable)
 		return
--- a/agent/listener/messages.go
+++ b/agent/listener/messages.go
@@ -10,16 +10,16 @@
 	"oleandertally/core/specifier"
 )
 
-// decode checks a message and turns it into events, in the order assignments, withdrawals, fences. Ages and times
-// left become times on this host's clock.
-func decode(m *encoder.EntryMessage, entry specifier.Identity, link uint64, now time.Time) ([]executor.Event, error) {
+// decode validates a message and converts it into events, in the order assignments, withdrawals, fences, release. Ages and
+// remaining times are converted to times on this host's clock.
+func decode(m *encoder.EntryMessage, entry specifier.Identity, stream uint64, now time.Time) ([]executor.Event, error) {
 	var events []executor.Event
 	for _, assign := range m.Assigns {
 		event, err := decodeAssign(assign, now)
 		if err != nil {
 			return nil, err
 		}
-		event.Entry, event.Stream = entry, link
+		event.Entry, event.Stream = entry, stream
 		events = append(events, event)
 	}
 	for _, withdraw := range m.Withdraws {
@@ -27,7 +27,7 @@
 		if err != nil {
 			return nil, err
 		}
-		events = append(events, executor.Withdrawn{Entry: entry, Stream: link, Job: job, Epoch: specifier.Epoch(withdraw.Epoch)})
+		events = append(events, executor.Withdrawn{Entry: entry, Stream: stream, Job: job, Epoch: specifier.Epoch(withdraw.Epoch)})
 	}
 	for _, fence := range m.Fences {
 		job, err := jobID(fence.Job)
@@ -35,10 +35,10 @@
 			return nil, err
 		}
 		left := min(max(time.Duration(fence.TimeLeft), 0), specifier.MaxTimeLeft)
-		events = append(events, executor.Fenced{Entry: entry, Stream: link, Job: job, Epoch: specifier.Epoch(fence.Epoch), Deadline: now.Add(left), Mark: fence.Mark})
+		events = append(events, executor.Fenced{Entry: entry, Stream: stream, Job: job, Epoch: specifier.Epoch(fence.Epoch), Deadline: now.Add(left), Mark: fence.Mark})
 	}
 	if m.Released {
-		events = append(events, executor.Released{Entry: entry, Stream: link})
+		events = append(events, executor.Released{Entry: entry, Stream: stream})
 	}
 	return events, nil
 }
@@ -70,20 +70,20 @@
 	return id, nil
 }
 
-// EncodeDone turns the result of a task into a message.
+// EncodeDone converts the result of a task into a message.
 func EncodeDone(d executor.Done) *encoder.AgentMessage {
 	done := &encoder.Done{Job: d.Key.Job[:], Epoch: uint64(d.Epoch), Task: d.Key.Task, Body: d.Body, Failed: d.Broken, Detail: d.Detail,
 		RunTime: int64(d.RunTime), Waited: int64(d.Waited)}
 	return &encoder.AgentMessage{Dones: []*encoder.Done{done}, Load: EncodeLoad(d.Load)}
 }
 
-// EncodeRefused copies every field.
+// EncodeRefused converts a refusal into a message.
 func EncodeRefused(r executor.Refused) *encoder.AgentMessage {
 	refused := &encoder.Refused{Job: r.Key.Job[:], Epoch: uint64(r.Epoch), Task: r.Key.Task, Cause: string(r.Cause)}
 	return &encoder.AgentMessage{Refusals: []*encoder.Refused{refused}, Load: EncodeLoad(r.Load)}
 }
 
-// EncodeReport copies every field.
+// EncodeReport converts the report on a job into a message.
 func EncodeReport(r executor.Report) *encoder.AgentMessage {
 	report := &encoder.Report{Job: r.Job[:], Epoch: uint64(r.Epoch), Mark: r.Mark}
 	for _, task := range r.Tasks {
@@ -92,12 +92,12 @@
 	return &encoder.AgentMessage{Reports: []*encoder.Report{report}, Load: EncodeLoad(r.Load)}
 }
 
-// EncodeRequestRelease copies every field.
-func EncodeRequestRelease(f executor.RequestRelease) *encoder.AgentMessage {
-	return &encoder.AgentMessage{Leaving: true, Load: EncodeLoad(f.Load)}
+// EncodeRequestRelease converts the request for a release into a message.
+func EncodeRequestRelease(r executor.RequestRelease) *encoder.AgentMessage {
+	return &encoder.AgentMessage{Leaving: true, Load: EncodeLoad(r.Load)}
 }
 
-// EncodeLoad copies every field.
+// EncodeLoad converts the agent's load into its wire form.
 func EncodeLoad(load specifier.Load) *encoder.Load {
 	return &encoder.Load{Slots: int32(load.Slots), Running: int32(load.Running), Queued: int32(load.Queued)}
 }
--- a/agent/listener/worker.go
+++ b/agent/listener/worker.go
@@ -14,19 +14,19 @@
 	"oleandertally/core/specifier"
 )
 
-// Worker serves entries. Fields are set before use.
+// Worker serves the streams of entries. Fields are set before use.
 type Worker struct {
 	encoder.UnimplementedWorkerServer
 
-	Self  func() specifier.Identity
-	Sink  *looper.Mailbox[executor.Event]
+	Self    func() specifier.Identity
+	Sink    *looper.Mailbox[executor.Event]
 	Streams *Streams
-	Clock func() time.Time
+	Clock   func() time.Time
 	// Verify returns an error unless the call of ctx comes from the entry with that name.
 	Verify func(ctx context.Context, entry string) error
 }
 
-// Link serves one entry until its stream ends.
+// Link serves the stream of one entry until the stream ends.
 func (w *Worker) Link(stream encoder.Worker_LinkServer) error {
 	first, err := stream.Recv()
 	if err != nil {
@@ -43,29 +43,29 @@
 	if first.Target != uint64(self.Incarnation) {
 		return status.Errorf(codes.FailedPrecondition, "Target: is %016x, this agent is %s", first.Target, self)
 	}
-	link, box := w.Streams.Open(entry)
-	defer w.Streams.Close(entry, link)
+	streamNumber, outbox := w.Streams.Open(entry)
+	defer w.Streams.Close(entry, streamNumber)
 	group, ctx := errgroup.WithContext(stream.Context())
-	if err := w.Sink.Send(ctx, executor.Connected{Entry: entry, Stream: link}); err != nil {
+	if err := w.Sink.Send(ctx, executor.Connected{Entry: entry, Stream: streamNumber}); err != nil {
 		return err
 	}
 	if err := stream.Send(&encoder.AgentMessage{Hello: encoder.EncodeIdentity(self)}); err != nil {
 		return err
 	}
-	group.Go(func() error { return send(ctx, stream, box) })
-	group.Go(func() error { return w.receive(ctx, stream, entry, link) })
+	group.Go(func() error { return send(ctx, stream, outbox) })
+	group.Go(func() error { return w.receive(ctx, stream, entry, streamNumber) })
 	err = group.Wait()
 	closeCtx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	_ = w.Sink.Send(closeCtx, executor.Disconnected{Entry: entry, Stream: link})
+	_ = w.Sink.Send(closeCtx, executor.Disconnected{Entry: entry, Stream: streamNumber})
 	return err
 }
 
-// send merges what waits into one message, up to a bound on its results.
-func send(ctx context.Context, stream encoder.Worker_LinkServer, box *looper.Outbox[*encoder.AgentMessage]) error {
+// send merges the queued messages into one, up to a bound on the size of its results.
+func send(ctx context.Context, stream encoder.Worker_LinkServer, outbox *looper.Outbox[*encoder.AgentMessage]) error {
 	const mergeBytes = 1 << 20
 	for {
-		messages, err := box.Take(ctx)
+		messages, err := outbox.Take(ctx)
 		if err != nil {
 			return err
 		}
@@ -79,7 +79,7 @@
 			for _, done := range message.Dones {
 				size += len(done.Body)
 			}
-			// A report comes in a message of its own order: what follows it must not overtake it.
+			// A merged message ends with its first report or request for release, so that nothing queued later overtakes it.
 			if size < mergeBytes && len(message.Reports) == 0 && !message.Leaving && i < len(messages)-1 {
 				continue
 			}
@@ -91,13 +91,13 @@
 	}
 }
 
-func (w *Worker) receive(ctx context.Context, stream encoder.Worker_LinkServer, entry specifier.Identity, link uint64) error {
+func (w *Worker) receive(ctx context.Context, stream encoder.Worker_LinkServer, entry specifier.Identity, streamNumber uint64) error {
 	for {
 		message, err := stream.Recv()
 		if err != nil {
 			return err
 		}
-		events, err := decode(message, entry, link, w.Clock())
+		events, err := decode(message, entry, streamNumber, w.Clock())
 		if err != nil {
 			return status.Error(codes.InvalidArgument, err.Error())
 		}
