--- a/agent/main.go
+++ b/agent/main.go
@@ -3,8 +3,8 @@
 //	agent -settings FILE              settings of this agent
 //	agent -settings FILE -name NAME   settings of a deployment that lists it
 //
-// It exits with 0 after a shutdown that cut nothing off, 1 after the failure of a part, 2 when it could not
-// start, and 3 when the shutdown was cut off.
+// It exits with 0 after a complete shutdown, 1 after the failure of a component, 2 when it could not
+// start, and 3 when the shutdown was aborted.
 package main
 
 import (
@@ -27,11 +27,11 @@
 )
 
 const (
-	// eventsKept is some seconds of the time line of one worker, in about 4 MB: a worker has 32 MB for all
-	// control.
-	eventsKept = 1 << 14
-	// faultEvery bounds how often an equal fault is logged.
-	faultEvery = time.Minute
+	// maxEvents covers some seconds of the time line of one worker, in about 4 MB: on a worker, all control
+	// processes together have 32 MB.
+	maxEvents = 1 << 14
+	// faultLogInterval is the shortest interval between log lines for the same fault.
+	faultLogInterval = time.Minute
 )
 
 func main() {
@@ -44,7 +44,7 @@
 	os.Exit(launcher.Exit(err))
 }
 
-// run returns after a shutdown. The log goes to out.
+// run runs the agent until its shutdown, and writes the log to out.
 func run(ctx context.Context, arguments []string, signals <-chan os.Signal, out io.Writer) error {
 	parsed, err := launcher.ParseArguments("agent", arguments, out)
 	if err != nil {
@@ -58,7 +58,7 @@
 	if err != nil {
 		return errors.Mark(err, launcher.ErrSettings)
 	}
-	faults := supervisor.NewFaultLog(log, faultEvery, time.Now)
+	faults := supervisor.NewFaultLog(log, faultLogInterval, time.Now)
 	security, err := authenticator.New(settings.Security, authenticator.Peer{Role: specifier.Agent, Name: settings.Name}, time.Now,
 		func(err error) { faults.Report(supervisor.Fields{Event: "CertificateNotReloaded"}, err) })
 	if err != nil {
@@ -66,7 +66,7 @@
 	}
 	metrics, health := exporter.NewAgent(), supervisor.NewHealth(runner.Conditions()...)
 	agent := &runner.Agent{Settings: settings, Security: security, Metrics: metrics, Health: health, Log: log,
-		Events: &recorder.Buffer{Cap: eventsKept, Clock: time.Now}}
+		Events: &recorder.Buffer{Cap: maxEvents, Clock: time.Now}}
 	launched := &launcher.Launcher{Process: settings.ProcessSettings, Program: agent, Health: health, Metrics: metrics.Handler(),
 		Log: log, Signals: signals}
 	return launched.Run(ctx)
--- a/agent/runner/agent.go
+++ b/agent/runner/agent.go
@@ -33,20 +33,20 @@
 const (
 	// mailboxSize is the number of events that may wait for the control goroutine.
 	mailboxSize = 4096
-	// heldBytes bounds the results kept for repeats.
-	heldBytes = 64 << 20
+	// maxResultBytes bounds the results that are kept to be sent again.
+	maxResultBytes = 64 << 20
 )
 
 // The conditions of an agent that is ready.
 const (
-	conditionLease    = "Lease"    // the controllers count the agent as a member
-	conditionUpstream = "Upstream" // it has slots for work
+	conditionLease    = "Lease"    // the controllers have granted the agent a lease
+	conditionUpstream = "Upstream" // the agent offers slots for work
 )
 
-// Conditions are those under which an agent is ready for work.
+// Conditions returns the conditions that must be met for an agent to be ready for work.
 func Conditions() []string { return []string{conditionLease, conditionUpstream} }
 
-// guard says who may call an agent.
+// guard lists which roles may call which method of an agent.
 var guard = authenticator.Guard{
 	encoder.Worker_Link_FullMethodName:     {specifier.Entry},
 	encoder.Timeline_Gather_FullMethodName: {authenticator.Operator},
@@ -56,16 +56,16 @@
 type Agent struct {
 	Settings configurator.AgentSettings
 	Security *authenticator.Authenticator
-	Events   *recorder.Buffer // its Process is set to the identity of each run
+	Events   *recorder.Buffer // its Process is set to the agent's current identity
 	Metrics  *exporter.Agent
 	Health   *supervisor.Health
 	Log      zerolog.Logger
 
 	self          atomic.Pointer[specifier.Identity]
 	mailbox       *looper.Mailbox[executor.Event]
-	links         *listener.Streams
+	streams       *listener.Streams
 	invoker       *invoker.Invoker
-	attender      *registrant.Registrant
+	registrant    *registrant.Registrant
 	lease         *registrant.Lease
 	pings         pings
 	pool          *dialer.Pool
@@ -75,10 +75,10 @@
 	announcements net.Listener
 	calls         *errgroup.Group
 	callCtx       context.Context
-	ended         chan struct{} // closed when nothing is queued or running any more
-	left          chan struct{} // closed when every entry has released the agent
-	leave         chan struct{} // closed to end the attendance
-	attended      chan struct{} // closed when it has ended
+	workFinished  chan struct{} // closed when no task is queued or running
+	allReleased   chan struct{} // closed when every entry has released the agent
+	leave         chan struct{} // closed to end the session with the controllers
+	sessionEnded  chan struct{} // closed when the session has ended
 }
 
 // Check returns an error that names the first field that is missing.
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// Open opens both listeners before anything is announced.
+// Open prepares the agent and opens both listeners. Nothing is announced before Run.
 func (a *Agent) Open() error {
 	if err := a.Check(); err != nil {
 		return err
@@ -101,12 +101,12 @@
 	a.self.Store(&identity)
 	a.Events.SetProcess(identity.String())
 	a.mailbox = looper.NewMailbox[executor.Event](mailboxSize)
-	a.links = &listener.Streams{}
+	a.streams = &listener.Streams{}
 	a.invoker = invoker.New(a.Settings.MaxConnections)
 	a.pool = &dialer.Pool{Credentials: a.Security.ClientCredentials(specifier.Controller, ""), MaxMessage: int(a.Settings.MaxMessage),
 		Stats: []stats.Handler{&exporter.Bytes{Member: a.Metrics.Member}}}
-	a.ended, a.left = make(chan struct{}), make(chan struct{})
-	a.leave, a.attended = make(chan struct{}), make(chan struct{})
+	a.workFinished, a.allReleased = make(chan struct{}), make(chan struct{})
+	a.leave, a.sessionEnded = make(chan struct{}), make(chan struct{})
 	a.Health.Probe = a.probe
 	a.watchLease()
 	var err error
@@ -124,7 +124,7 @@
 // serve prepares both servers.
 func (a *Agent) serve() {
 	a.server = dialer.NewGuardedServer(a.Security.ServerOptions(guard, a.Settings.MaxMessage)...)
-	encoder.RegisterWorkerServer(a.server, &listener.Worker{Self: a.Self, Sink: a.mailbox, Streams: a.links, Clock: time.Now,
+	encoder.RegisterWorkerServer(a.server, &listener.Worker{Self: a.Self, Sink: a.mailbox, Streams: a.streams, Clock: time.Now,
 		Verify: func(ctx context.Context, entry string) error {
 			return a.Security.CheckPeer(ctx, authenticator.Peer{Role: specifier.Entry, Name: entry})
 		}})
@@ -143,8 +143,8 @@
 	a.lease.Lapsed = func() { a.Health.Miss(conditionLease, "no controller has renewed it in time") }
 }
 
-// Run serves until ctx ends, which cuts off the calls to the upstream; Steps end an agent without that. It
-// calls Open unless that was done.
+// Run serves until ctx ends, which aborts the calls to the upstream; Steps stop an agent gracefully. Run calls Open
+// unless it was called before.
 func (a *Agent) Run(ctx context.Context) error {
 	if a.mailbox == nil {
 		if err := a.Open(); err != nil {
@@ -155,26 +155,26 @@
 	defer a.pool.Close()
 	group, ctx := errgroup.WithContext(ctx)
 	a.calls, a.callCtx = group, ctx
-	a.attender = registrant.New()
-	a.attender.Member = a.member(0)
-	a.attender.Controllers, a.attender.Pool, a.attender.Log = a.Settings.Controllers, a.pool, a.Log
-	a.attender.Notify = a.notify
-	keeper := &loadKeeper{Executor: executor.New(a.Settings.MaxQueue, heldBytes)}
-	a.attender.Load = keeper.load.Load
-	machine := newMeter(keeper, a.Metrics)
+	a.registrant = registrant.New()
+	a.registrant.Member = a.member(0)
+	a.registrant.Controllers, a.registrant.Pool, a.registrant.Log = a.Settings.Controllers, a.pool, a.Log
+	a.registrant.Notify = a.notify
+	publisher := &loadPublisher{Executor: executor.New(a.Settings.MaxQueue, maxResultBytes)}
+	a.registrant.Load = publisher.load.Load
+	machine := newMeter(publisher, a.Metrics)
 	loop := &looper.Loop[executor.Event, executor.Action]{Machine: machine, Mailbox: a.mailbox, Perform: a.perform, Clock: time.Now}
 	group.Go(func() error { return loop.Run(ctx) })
 	group.Go(func() error { return a.lease.Run(ctx) })
 	group.Go(func() error { return supervisor.Serve(a.web, a.announcements)(ctx) })
 	group.Go(func() error { return dialer.Serve(a.server, a.entries)(ctx) })
 	group.Go(func() error {
-		defer close(a.attended)
-		return a.attender.RunUntil(ctx, a.leave)
+		defer close(a.sessionEnded)
+		return a.registrant.RunUntil(ctx, a.leave)
 	})
 	return group.Wait()
 }
 
-// Self returns the agent's present identity.
+// Self returns the agent's current identity.
 func (a *Agent) Self() specifier.Identity { return *a.self.Load() }
 
 func (a *Agent) member(slots int) specifier.Member {
@@ -182,11 +182,11 @@
 		Rack: a.Settings.Rack, Service: a.Settings.Service, Slots: slots}
 }
 
-// notify turns what the controllers say into events.
+// notify converts an update of the controllers into events.
 func (a *Agent) notify(ctx context.Context, notice registrant.Notice) error {
 	if notice.Self != a.Self() {
-		// What is recorded from now on belongs to the new incarnation; nothing has started since the lease
-		// of the old one ended.
+		// Events from now on belong to the new incarnation. No task has started since the lease of the old
+		// incarnation ended.
 		a.self.Store(&notice.Self)
 		a.Events.SetProcess(notice.Self.String())
 	}
@@ -225,27 +225,27 @@
 			return a.mailbox.Send(a.callCtx, ended)
 		})
 	case executor.Done:
-		a.links.Put(action.Entry, listener.EncodeDone(action))
+		a.streams.Put(action.Entry, listener.EncodeDone(action))
 	case executor.Refused:
-		a.links.Put(action.Entry, listener.EncodeRefused(action))
+		a.streams.Put(action.Entry, listener.EncodeRefused(action))
 	case executor.Report:
-		a.links.Put(action.Entry, listener.EncodeReport(action))
+		a.streams.Put(action.Entry, listener.EncodeReport(action))
 	case executor.SendLoad:
-		a.links.Put(action.Entry, &encoder.AgentMessage{Load: listener.EncodeLoad(action.Load)})
+		a.streams.Put(action.Entry, &encoder.AgentMessage{Load: listener.EncodeLoad(action.Load)})
 	case executor.Announce:
-		a.links.PutAll(&encoder.AgentMessage{Load: listener.EncodeLoad(action.Load)})
-		a.attender.Announce(a.member(action.Load.Slots))
+		a.streams.PutAll(&encoder.AgentMessage{Load: listener.EncodeLoad(action.Load)})
+		a.registrant.Announce(a.member(action.Load.Slots))
 		if action.Load.Slots > 0 {
 			a.Health.Meet(conditionUpstream)
 		} else {
 			a.Health.Miss(conditionUpstream, "takes no work")
 		}
 	case executor.RequestRelease:
-		a.links.Put(action.Entry, listener.EncodeRequestRelease(action))
+		a.streams.Put(action.Entry, listener.EncodeRequestRelease(action))
 	case executor.WorkFinished:
-		close(a.ended)
+		close(a.workFinished)
 	case executor.AllReleased:
-		close(a.left)
+		close(a.allReleased)
 	case executor.Ponged:
 		a.pings.answer(action.Number)
 	case executor.RecordEvent:
--- a/agent/runner/agent_test.go
+++ b/agent/runner/agent_test.go
@@ -20,11 +20,10 @@
 	"oleandertally/core/supervisor"
 )
 
-// TestMain guards against goroutines that are left after an agent has ended.
+// TestMain guards against goroutines that still run after an agent has stopped.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// startAgent runs an agent on a random loopback address whose controllers do not answer, until the test
-// ends.
+// startAgent runs an agent on a random loopback address until the test ends. Its controllers do not answer.
 func startAgent(t *testing.T) *Agent {
 	t.Helper()
 	host := netip.AddrFrom4([4]byte{127, byte(64 + rand.IntN(128)), byte(rand.IntN(250)), 1})
@@ -56,14 +55,14 @@
 	must.NoError(t, steps[1].Run(t.Context()))
 	leaving, interrupt := context.WithCancel(t.Context())
 	var group errgroup.Group
-	group.Go(func() error { defer interrupt(); <-agent.attended; return nil })
+	group.Go(func() error { defer interrupt(); <-agent.sessionEnded; return nil })
 	must.ErrorIs(t, steps[2].Run(leaving), context.Canceled)
 	must.NoError(t, group.Wait())
 }
 
-// Guards against events of a new incarnation that are recorded as those of one that is down, which would
-// make a start after the loss look like one before it.
-func TestNewIncarnationIsALaneOfItsOwn(t *testing.T) {
+// Guards against events of a new incarnation that are recorded under the previous one: a task started after the loss of
+// the agent would appear to have started before it.
+func TestNewIncarnationHasItsOwnTimeline(t *testing.T) {
 	agent := startAgent(t)
 	first := agent.Self()
 	second := specifier.Identity{Name: first.Name, Incarnation: first.Incarnation + 1}
--- a/agent/runner/doc.go
+++ b/agent/runner/doc.go
@@ -1,3 +1,3 @@
 // Package runner runs an agent: the control loop around executor, the stream from each entry, the
-// attendance at the controllers, and the calls to the upstream.
+// session with the controllers, and the calls to the upstream.
 package runner
--- a/agent/runner/machine.go
+++ b/agent/runner/machine.go
@@ -6,7 +6,7 @@
 	"oleandertally/core/specifier"
 )
 
-// machine is the executor, or what wraps it.
+// machine is the executor or a wrapper of it.
 type machine interface {
 	looper.Machine[executor.Event, executor.Action]
 	Load() specifier.Load
--- a/agent/runner/meter.go
+++ b/agent/runner/meter.go
@@ -10,18 +10,18 @@
 	"oleandertally/dispatch/classifier"
 )
 
-// meter counts what passes through the executor. It runs on the control goroutine and does not block.
+// meter derives metrics from the events and actions of the executor. It runs on the control goroutine and does not block.
 type meter struct {
 	machine machine
 	metrics *exporter.Agent
 
-	tasks      map[specifier.TaskKey]measured // queued or running
+	tasks      map[specifier.TaskKey]measuredTask // queued or running
 	queued     map[exporter.Class]int
 	classifier classifier.Classifier
 }
 
 func newMeter(machine machine, metrics *exporter.Agent) *meter {
-	return &meter{machine: machine, metrics: metrics, tasks: make(map[specifier.TaskKey]measured), queued: make(map[exporter.Class]int)}
+	return &meter{machine: machine, metrics: metrics, tasks: make(map[specifier.TaskKey]measuredTask), queued: make(map[exporter.Class]int)}
 }
 
 // Step handles one event.
@@ -29,9 +29,9 @@
 	switch event := event.(type) {
 	case executor.Assigned:
 		if _, known := m.tasks[event.Key]; !known {
-			m.tasks[event.Key] = measured{profile: event.Profile}
+			m.tasks[event.Key] = measuredTask{profile: event.Profile}
 		}
-		defer m.dropRefused(event.Key)
+		defer m.deleteRefused(event.Key)
 	case executor.RunEnded:
 		m.ended(now, event)
 	}
@@ -46,8 +46,8 @@
 // Next returns the earliest deadline.
 func (m *meter) Next() time.Time { return m.machine.Next() }
 
-// dropRefused forgets an assignment that was not taken.
-func (m *meter) dropRefused(key specifier.TaskKey) {
+// deleteRefused deletes the record of an assignment that was refused.
+func (m *meter) deleteRefused(key specifier.TaskKey) {
 	if task := m.tasks[key]; task.queued.IsZero() {
 		delete(m.tasks, key)
 	}
@@ -73,7 +73,7 @@
 	for _, action := range actions {
 		switch action := action.(type) {
 		case executor.RecordEvent:
-			m.noted(now, action.Event)
+			m.record(now, action.Event)
 		case executor.Refused:
 			m.metrics.Refused(exporter.Cause(action.Cause))
 		}
@@ -83,7 +83,7 @@
 	return actions
 }
 
-func (m *meter) noted(now time.Time, event recorder.Event) {
+func (m *meter) record(now time.Time, event recorder.Event) {
 	key := specifier.TaskKey{Job: event.Job, Task: event.Task}
 	task, known := m.tasks[key]
 	switch {
@@ -99,16 +99,16 @@
 		m.metrics.Started(task.class, now.Sub(task.queued))
 		task.started = now
 		m.tasks[key] = task
-	case event.Kind == recorder.TaskRefused && task.waits():
+	case event.Kind == recorder.TaskRefused && task.isQueued():
 		m.count(task.class, -1)
 		delete(m.tasks, key)
 	}
 }
 
-// fenced forgets what the executor drops without a word.
+// fenced deletes the records of queued tasks that the executor drops on a fence, for which it emits no refusal.
 func (m *meter) fenced(job specifier.JobID) {
 	for key, task := range m.tasks {
-		if key.Job == job && task.waits() {
+		if key.Job == job && task.isQueued() {
 			m.count(task.class, -1)
 			delete(m.tasks, key)
 		}
--- a/agent/runner/meter_test.go
+++ b/agent/runner/meter_test.go
@@ -14,30 +14,30 @@
 
 var entry = specifier.Identity{Name: "entry-1", Incarnation: 1}
 
-// metered is an executor with one slot behind a meter.
-type metered struct {
+// meteredExecutor is an executor with one slot behind a meter.
+type meteredExecutor struct {
 	*meter
 	now time.Time
 }
 
-func newMetered() *metered {
-	m := &metered{meter: newMeter(executor.New(1, 1<<20), exporter.NewAgent()), now: time.Date(2026, 5, 4, 9, 0, 0, 0, time.UTC)}
+func newMeteredExecutor() *meteredExecutor {
+	m := &meteredExecutor{meter: newMeter(executor.New(1, 1<<20), exporter.NewAgent()), now: time.Date(2026, 5, 4, 9, 0, 0, 0, time.UTC)}
 	m.step(executor.Leased{Until: m.now.Add(time.Hour)})
 	m.step(executor.UpstreamUp{Addr: netip.MustParseAddrPort("127.0.0.1:1"), Slots: 1, Until: m.now.Add(time.Hour)})
 	m.step(executor.Connected{Entry: entry, Stream: 1})
 	return m
 }
 
-func (m *metered) step(event executor.Event) { m.Step(m.now, event) }
+func (m *meteredExecutor) step(event executor.Event) { m.Step(m.now, event) }
 
-func (m *metered) assign(task string) specifier.TaskKey {
+func (m *meteredExecutor) assign(task string) specifier.TaskKey {
 	key := specifier.TaskKey{Job: specifier.NewJobID("web", "k"), Task: task}
 	m.step(executor.Assigned{Entry: entry, Stream: 1, Key: key, Epoch: 1, Order: m.now, Deadline: m.now.Add(time.Minute), Profile: "hold"})
 	return key
 }
 
-// mustCount compares a metric with its label values, if any.
-func (m *metered) mustCount(t *testing.T, want float64, name string, labels ...string) {
+// mustCount requires that the metric with these label values, if any, has the wanted value.
+func (m *meteredExecutor) mustCount(t *testing.T, want float64, name string, labels ...string) {
 	t.Helper()
 	families, err := m.metrics.Registry().Gather()
 	must.NoError(t, err)
@@ -56,10 +56,10 @@
 	t.Fatalf("no metric %s %v", name, labels)
 }
 
-// Guards against a gauge that drifts, because a task left the queue in a way that is not counted.
+// Guards against a gauge that drifts because a task left the queue in a way that is not counted.
 func TestQueueIsCounted(t *testing.T) {
-	full := func() *metered {
-		m := newMetered()
+	full := func() *meteredExecutor {
+		m := newMeteredExecutor()
 		m.assign("runs")
 		m.assign("waits")
 		m.assign("refused")
--- a/agent/runner/pings.go
+++ b/agent/runner/pings.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// pings maps the numbers of Pinged events to the goroutines that wait. The zero value is ready.
+// pings maps the numbers of Pinged events to the goroutines that wait for their answers. The zero value is ready to use.
 type pings struct {
 	mutex sync.Mutex
 	last  uint64
@@ -31,8 +31,8 @@
 	}
 }
 
-// forget ends the waiting for an answer.
-func (p *pings) forget(number uint64) {
+// cancel removes a ping whose answer is no longer waited for.
+func (p *pings) cancel(number uint64) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	delete(p.open, number)
