--- /dev/null
+++ b/agent/leaseholder/announcement.go
@@ -0,0 +1,45 @@
+package leaseholder
+
+// announced applies an announcement of the worker. Those of an earlier incarnation, and late ones, are ignored.
+func (l *LeaseHolder) announced(event Announced) {
+	worker := event.Worker
+	if known := l.worker; known != nil {
+		older := worker.Born.Before(known.Born) || worker.Born.Before(l.startedAt)
+		if older || worker.ID == known.ID && worker.Born.Equal(known.Born) && event.Sequence <= l.sequence {
+			return
+		}
+	}
+	first := l.worker == nil || l.worker.ID != worker.ID || !l.worker.Born.Equal(worker.Born)
+	draining := l.worker != nil && l.worker.Draining
+	l.worker, l.sequence = &worker, event.Sequence
+	if first {
+		l.emit(LogEvent{Event: "WorkerAnnounced", Detail: worker.ID})
+		l.answeredAt = l.now
+	}
+	if !worker.Born.Equal(l.startedAt) {
+		l.workerRestarted(worker.Born)
+	}
+	if first || draining != worker.Draining {
+		l.workerChanged = true
+		l.renewIfConnected()
+	}
+}
+
+// renewIfConnected reports a change of the worker without waiting for the next renewal.
+func (l *LeaseHolder) renewIfConnected() {
+	if l.connected {
+		l.renew()
+	}
+}
+
+// departed marks the worker as draining, since it has announced that it terminates. Its runs terminate with it.
+func (l *LeaseHolder) departed(id string) {
+	if l.worker == nil || l.worker.ID != id {
+		return
+	}
+	l.emit(LogEvent{Event: "WorkerDeparted", Detail: id, Count: len(l.runs)})
+	departed := *l.worker
+	departed.Draining = true
+	l.worker, l.workerChanged = &departed, true
+	l.renewIfConnected()
+}
--- a/agent/leaseholder/unlinked.go
+++ /dev/null
@@ -1,4 +0,0 @@
-package leaseholder
-
-// Unlinked tells that the stream ended.
-type Unlinked struct{}
--- a/entry/coordinator/worldactions_test.go
+++ b/entry/coordinator/worldactions_test.go
@@ -34,23 +34,23 @@
 		case coordinator.Drained:
 			e.drained = true
 		case coordinator.Released:
-			w.toAgent(e, action.Agent, func(l *linkPair) executor.Event { return executor.Released{Entry: e.id, Link: l.number} })
+			w.toAgent(e, action.Agent, func(l *linkPair) executor.Event { return executor.Released{Entry: e.id, Stream: l.number} })
 		case coordinator.Reply:
 			w.reply(e, action)
 		case coordinator.AskOwner:
 			w.askOwner(e, action)
 		case coordinator.Assign:
 			w.toAgent(e, action.Agent, func(l *linkPair) executor.Event {
-				return executor.Assigned{Entry: e.id, Link: l.number, Key: action.Key, Epoch: action.Epoch, Payload: action.Payload,
+				return executor.Assigned{Entry: e.id, Stream: l.number, Key: action.Key, Epoch: action.Epoch, Payload: action.Payload,
 					Order: action.Order, Deadline: action.Deadline, Profile: action.Profile}
 			})
 		case coordinator.Withdraw:
 			w.toAgent(e, action.Agent, func(l *linkPair) executor.Event {
-				return executor.Withdrawn{Entry: e.id, Link: l.number, Job: action.Job, Epoch: action.Epoch}
+				return executor.Withdrawn{Entry: e.id, Stream: l.number, Job: action.Job, Epoch: action.Epoch}
 			})
 		case coordinator.Fence:
 			w.toAgent(e, action.Agent, func(l *linkPair) executor.Event {
-				return executor.Fenced{Entry: e.id, Link: l.number, Job: action.Job, Epoch: action.Epoch, Deadline: action.Deadline, Mark: action.Mark}
+				return executor.Fenced{Entry: e.id, Stream: l.number, Job: action.Job, Epoch: action.Epoch, Deadline: action.Deadline, Mark: action.Mark}
 			})
 		}
 	}
@@ -82,7 +82,7 @@
 func (w *world) performAgent(a *agentNode, actions []executor.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
-		case executor.Note:
+		case executor.RecordEvent:
 			w.record(a.id, action.Event)
 		case executor.Run:
 			a.running = append(a.running, action)
@@ -95,12 +95,12 @@
 			w.toEntry(a, action.Entry, coordinator.Loaded{Agent: a.id, Load: action.Load})
 		case executor.Report:
 			w.toEntry(a, action.Entry, coordinator.Reported{Agent: a.id, Job: action.Job, Epoch: action.Epoch, Tasks: action.Tasks, Mark: action.Mark})
-		case executor.Greet:
+		case executor.SendLoad:
 			w.toEntry(a, action.Entry, coordinator.Loaded{Agent: a.id, Load: action.Load})
 		case executor.RequestRelease:
 			w.toEntry(a, action.Entry, coordinator.Loaded{Agent: a.id, Load: action.Load})
 			w.toEntry(a, action.Entry, coordinator.AgentLeaving{Agent: a.id})
-		case executor.Left:
+		case executor.AllReleased:
 			a.left = true
 		case executor.Announce:
 			for _, e := range w.entries {
--- a/local/simulator/fakeagent_test.go
+++ b/local/simulator/fakeagent_test.go
@@ -39,7 +39,7 @@
 	a.life++
 	a.leader = nil
 	a.machine = &leaseholder.LeaseHolder{Name: a.name, Incarnation: specifier.Incarnation(a.life), GrantSpan: dispatcher.Defaults().GrantSpan,
-		HoldMost: time.Second, Began: a.world.now}
+		MaxLease: time.Second, StartedAt: a.world.now}
 	a.seek()
 	life := a.life
 	a.world.after(a.world.span(0, time.Second), func() {
@@ -73,7 +73,7 @@
 func (a *fakeAgent) drop() {
 	a.unlink()
 	if a.machine != nil {
-		a.step(leaseholder.Unlinked{})
+		a.step(leaseholder.Disconnected{})
 	}
 }
 
@@ -100,7 +100,7 @@
 			lastStream++
 			a.stream, a.leader, a.term = lastStream, w.leaders[w.leading], w.leaders[w.leading].term
 			a.broken = false
-			a.step(leaseholder.Linked{})
+			a.step(leaseholder.Connected{})
 		}
 		a.seek()
 	})
@@ -127,7 +127,7 @@
 	w.after(arrives.Sub(w.now), func() {
 		a.broken = a.broken || w.now.Before(a.cutUntil)
 		if a.life == life && a.leader == leader && a.stream == order.Stream && !a.broken {
-			a.step(leaseholder.Ordered{Order: order.Order})
+			a.step(leaseholder.OrderReceived{Order: order.Order})
 		}
 	})
 }
@@ -149,9 +149,9 @@
 			a.worker.start(action, answer)
 		case leaseholder.Stop:
 			a.worker.stop(action, answer)
-		case leaseholder.Hold:
+		case leaseholder.Poll:
 			a.worker.hold(action, answer)
-		case leaseholder.Note:
+		case leaseholder.LogEvent:
 			w.tell("%s: %s task=%s run=%d %s", a.name, action.Event, action.Task, action.Run, action.Detail)
 		}
 	}
--- a/local/transcriber/perform.go
+++ b/local/transcriber/perform.go
@@ -32,12 +32,12 @@
 		case coordinator.AskOwner:
 			s.askOwner(e, action)
 		case coordinator.Assign:
-			s.toAgent(e, action.Agent, executor.Assigned{Entry: e.id, Link: link, Key: action.Key, Epoch: action.Epoch,
+			s.toAgent(e, action.Agent, executor.Assigned{Entry: e.id, Stream: link, Key: action.Key, Epoch: action.Epoch,
 				Payload: action.Payload, Order: action.Order, Deadline: action.Deadline, Profile: action.Profile})
 		case coordinator.Withdraw:
-			s.toAgent(e, action.Agent, executor.Withdrawn{Entry: e.id, Link: link, Job: action.Job, Epoch: action.Epoch})
+			s.toAgent(e, action.Agent, executor.Withdrawn{Entry: e.id, Stream: link, Job: action.Job, Epoch: action.Epoch})
 		case coordinator.Fence:
-			s.toAgent(e, action.Agent, executor.Fenced{Entry: e.id, Link: link, Job: action.Job, Epoch: action.Epoch,
+			s.toAgent(e, action.Agent, executor.Fenced{Entry: e.id, Stream: link, Job: action.Job, Epoch: action.Epoch,
 				Deadline: action.Deadline, Mark: action.Mark})
 		}
 	}
@@ -103,7 +103,7 @@
 func (s *Session) performAgent(a *agentNode, actions []executor.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
-		case executor.Note:
+		case executor.RecordEvent:
 			s.record(a.id, action.Event)
 		case executor.Run:
 			s.run(a, action)
@@ -115,7 +115,7 @@
 				coordinator.Loaded{Agent: a.id, Load: action.Load})
 		case executor.Report:
 			s.toEntry(action.Entry, coordinator.Reported{Agent: a.id, Job: action.Job, Epoch: action.Epoch, Tasks: action.Tasks, Mark: action.Mark})
-		case executor.Greet:
+		case executor.SendLoad:
 			s.toEntry(action.Entry, coordinator.Loaded{Agent: a.id, Load: action.Load})
 		case executor.Announce:
 			for _, e := range s.entries {
