--- a/entry/coordinator/coordinator.go
+++ b/entry/coordinator/coordinator.go
@@ -224,7 +224,7 @@
 }
 
 func (c *Coordinator) note(kind recorder.Kind, job *job, task, other, detail string) {
-	c.out = append(c.out, Note{recorder.Event{Kind: kind, Job: job.spec.ID, Task: task, Epoch: job.epoch, Other: other, Detail: detail}})
+	c.out = append(c.out, RecordEvent{recorder.Event{Kind: kind, Job: job.spec.ID, Task: task, Epoch: job.epoch, Other: other, Detail: detail}})
 }
 
 // give answers every waiter of the job.
--- a/entry/coordinator/leave.go
+++ b/entry/coordinator/leave.go
@@ -12,7 +12,7 @@
 // drain makes the entry refuse new jobs for good.
 func (c *Coordinator) drain() {
 	if !c.draining {
-		c.out = append(c.out, Note{recorder.Event{Kind: recorder.MemberDraining}})
+		c.out = append(c.out, RecordEvent{recorder.Event{Kind: recorder.MemberDraining}})
 	}
 	c.draining, c.drainAsked = true, true
 }
--- a/entry/coordinator/membership.go
+++ b/entry/coordinator/membership.go
@@ -64,7 +64,7 @@
 }
 
 func (c *Coordinator) noteDown(agent specifier.Identity) {
-	c.out = append(c.out, Note{recorder.Event{Kind: recorder.MemberDown, Other: agent.String()}})
+	c.out = append(c.out, RecordEvent{recorder.Event{Kind: recorder.MemberDown, Other: agent.String()}})
 }
 
 // agentsGone handles the loss of agents that are recorded as Down.
--- a/entry/coordinator/note.go
+++ b/entry/coordinator/note.go
@@ -2,9 +2,9 @@
 
 import "oleandertally/core/recorder"
 
-// Note records an event of the time line.
-type Note struct {
+// RecordEvent records an event of the time line.
+type RecordEvent struct {
 	Event recorder.Event
 }
 
-func (Note) action() {}
+func (RecordEvent) action() {}
--- a/entry/coordinator/worldactions_test.go
+++ b/entry/coordinator/worldactions_test.go
@@ -27,7 +27,7 @@
 func (w *world) perform(e *entryNode, actions []coordinator.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
-		case coordinator.Note:
+		case coordinator.RecordEvent:
 			w.record(e.process, action.Event)
 		case coordinator.Propose:
 			e.pending = append(e.pending, action.Command)
--- a/entry/runner/entry.go
+++ b/entry/runner/entry.go
@@ -246,7 +246,7 @@
 		}
 	case coordinator.NeedShares:
 		e.needs.Store(&action.Needs)
-	case coordinator.Note:
+	case coordinator.RecordEvent:
 		e.Events.Add(action.Event)
 	}
 }
--- a/entry/runner/meter.go
+++ b/entry/runner/meter.go
@@ -111,7 +111,7 @@
 	}
 	for _, action := range actions {
 		switch action := action.(type) {
-		case coordinator.Note:
+		case coordinator.RecordEvent:
 			if job := m.jobs[action.Event.Job]; job != nil {
 				m.noted(now, job, action.Event)
 			}
--- a/local/transcriber/perform.go
+++ b/local/transcriber/perform.go
@@ -23,7 +23,7 @@
 	link := uint64(e.id.Incarnation)
 	for _, action := range actions {
 		switch action := action.(type) {
-		case coordinator.Note:
+		case coordinator.RecordEvent:
 			s.record(e.id, action.Event)
 		case coordinator.Propose:
 			s.propose(e, action.Command)
