--- a/entry/connector/link.go
+++ b/entry/connector/link.go
@@ -71,7 +71,7 @@
 	l.setBox(box)
 	defer l.setBox(nil)
 	id := l.member.Identity
-	if err := deliver(ctx, l.agents.Sink, coordinator.AgentLinked{Agent: id}); err != nil {
+	if err := deliver(ctx, l.agents.Sink, coordinator.AgentConnected{Agent: id}); err != nil {
 		return err
 	}
 	group, ctx := errgroup.WithContext(ctx)
@@ -79,7 +79,7 @@
 	group.Go(func() error { return l.receive(ctx, stream, first) })
 	err = group.Wait()
 	// Sent even if this process is stopping, since the coordinator still counts on the link.
-	_ = deliver(l.agents.Ctx, l.agents.Sink, coordinator.AgentUnlinked{Agent: id})
+	_ = deliver(l.agents.Ctx, l.agents.Sink, coordinator.AgentDisconnected{Agent: id})
 	return err
 }
 
--- a/entry/coordinator/agentlinked.go
+++ b/entry/coordinator/agentlinked.go
@@ -2,9 +2,9 @@
 
 import "oleandertally/core/specifier"
 
-// AgentLinked reports a new stream to an agent.
-type AgentLinked struct {
+// AgentConnected reports a new stream to an agent.
+type AgentConnected struct {
 	Agent specifier.Identity
 }
 
-func (AgentLinked) event() {}
+func (AgentConnected) event() {}
--- a/entry/coordinator/coordinator.go
+++ b/entry/coordinator/coordinator.go
@@ -84,9 +84,9 @@
 		c.reported(now, event)
 	case Loaded:
 		c.Scheduler.Reported(now, event.Agent, event.Load)
-	case AgentLinked:
+	case AgentConnected:
 		c.agentLinked(now, event.Agent)
-	case AgentUnlinked:
+	case AgentDisconnected:
 		delete(c.linked, event.Agent)
 		delete(c.leaving, event.Agent)
 		c.Scheduler.SetLinked(now, event.Agent, false)
--- a/entry/coordinator/worldlinks_test.go
+++ b/entry/coordinator/worldlinks_test.go
@@ -43,7 +43,7 @@
 	l.up, l.number = true, w.next()
 	w.agent(l.agent, executor.Linked{Entry: l.entry.id, Link: l.number})
 	w.entry(l.entry, coordinator.MembersChanged{Version: w.state.MemberVersion(), Members: w.state.Members()})
-	w.entry(l.entry, coordinator.AgentLinked{Agent: l.agent.id})
+	w.entry(l.entry, coordinator.AgentConnected{Agent: l.agent.id})
 }
 
 // disconnect loses what is on its way, but for messages that the agent has already received.
@@ -55,7 +55,7 @@
 	l.oldAgent = append(l.oldAgent, l.toAgent[:min(received, len(l.toAgent))]...)
 	l.toAgent, l.toEntry = nil, nil
 	if l.entry.alive {
-		w.entry(l.entry, coordinator.AgentUnlinked{Agent: l.agent.id})
+		w.entry(l.entry, coordinator.AgentDisconnected{Agent: l.agent.id})
 	}
 }
 
--- a/local/benchmarker/entrystand_test.go
+++ b/local/benchmarker/entrystand_test.go
@@ -36,7 +36,7 @@
 	e.machine.Step(e.now, coordinator.Configured{Configuration: specifier.Configuration{Revision: 1,
 		Profiles: map[string]specifier.Profile{"mix": {Name: "mix", Service: service}}}})
 	for _, member := range members {
-		e.machine.Step(e.now, coordinator.AgentLinked{Agent: member.Identity})
+		e.machine.Step(e.now, coordinator.AgentConnected{Agent: member.Identity})
 		e.machine.Step(e.now, coordinator.Loaded{Agent: member.Identity, Load: specifier.Load{Slots: slots}})
 	}
 	return e
--- a/local/transcriber/members.go
+++ b/local/transcriber/members.go
@@ -53,7 +53,7 @@
 			if e.alive && a.alive && (a == agent || e == entry) {
 
 				s.agent(a, executor.Linked{Entry: e.id, Link: uint64(e.id.Incarnation)})
-				s.entry(e, coordinator.AgentLinked{Agent: a.id})
+				s.entry(e, coordinator.AgentConnected{Agent: a.id})
 			}
 		}
 	}
@@ -78,7 +78,7 @@
 	id := a.id
 	for _, e := range s.entries {
 		if e.alive {
-			s.entry(e, coordinator.AgentUnlinked{Agent: id})
+			s.entry(e, coordinator.AgentDisconnected{Agent: id})
 		}
 	}
 	s.after(s.site.Lease, func() { s.apply(specifier.EndMember{Identity: id}) })
