--- a/entry/connector/messages.go
+++ b/entry/connector/messages.go
@@ -89,7 +89,7 @@
 	}
 	if m.Load != nil {
 		load := specifier.Load{Slots: int(m.Load.Slots), Running: int(m.Load.Running), Queued: int(m.Load.Queued)}
-		events = append(events, coordinator.Loaded{Agent: agent, Load: load})
+		events = append(events, coordinator.LoadReceived{Agent: agent, Load: load})
 	}
 	if m.Leaving {
 		events = append(events, coordinator.AgentLeaving{Agent: agent})
@@ -105,7 +105,7 @@
 	if len(m.Tasks) > specifier.MaxTasks {
 		return nil, errors.Newf("link: Report.Tasks has %d items, expected at most %d", len(m.Tasks), specifier.MaxTasks)
 	}
-	report := coordinator.Reported{Agent: agent, Job: key.Job, Epoch: specifier.Epoch(m.Epoch), Mark: m.Mark}
+	report := coordinator.ReportReceived{Agent: agent, Job: key.Job, Epoch: specifier.Epoch(m.Epoch), Mark: m.Mark}
 	for _, task := range m.Tasks {
 		report.Tasks = append(report.Tasks, specifier.TaskReport{Task: task.Task, State: specifier.TaskState(task.State), Body: task.Body, Detail: task.Detail})
 	}
--- a/entry/coordinator/collection.go
+++ b/entry/coordinator/collection.go
@@ -40,7 +40,7 @@
 	c.out = append(c.out, Fence{Agent: agent, Job: job.spec.ID, Epoch: job.epoch, Deadline: job.spec.Deadline, Mark: c.mark})
 }
 
-func (c *Coordinator) reported(now time.Time, e Reported) {
+func (c *Coordinator) reported(now time.Time, e ReportReceived) {
 	job := c.jobs[e.Job]
 	if job == nil || (job.phase != running && job.phase != collecting) {
 		return
@@ -61,7 +61,7 @@
 }
 
 // merge takes over an agent's record. It returns false when the job failed by it.
-func (c *Coordinator) merge(now time.Time, job *job, e Reported) bool {
+func (c *Coordinator) merge(now time.Time, job *job, e ReportReceived) bool {
 	listed := make(map[string]bool, len(e.Tasks))
 	for _, report := range e.Tasks {
 		listed[report.Task] = true
--- a/entry/coordinator/coordinator.go
+++ b/entry/coordinator/coordinator.go
@@ -80,9 +80,9 @@
 		c.taskDone(now, event)
 	case TaskRefused:
 		c.taskRefused(now, event)
-	case Reported:
+	case ReportReceived:
 		c.reported(now, event)
-	case Loaded:
+	case LoadReceived:
 		c.Scheduler.Reported(now, event.Agent, event.Load)
 	case AgentConnected:
 		c.agentLinked(now, event.Agent)
--- a/entry/coordinator/loaded.go
+++ b/entry/coordinator/loaded.go
@@ -2,10 +2,10 @@
 
 import "oleandertally/core/specifier"
 
-// Loaded carries an agent's own count of its work.
-type Loaded struct {
+// LoadReceived carries an agent's own count of its work.
+type LoadReceived struct {
 	Agent specifier.Identity
 	Load  specifier.Load
 }
 
-func (Loaded) event() {}
+func (LoadReceived) event() {}
--- a/entry/coordinator/reported.go
+++ b/entry/coordinator/reported.go
@@ -2,8 +2,8 @@
 
 import "oleandertally/core/specifier"
 
-// Reported is an agent's record of a job, the answer to Fence.
-type Reported struct {
+// ReportReceived is an agent's record of a job, the answer to Fence.
+type ReportReceived struct {
 	Agent specifier.Identity
 	Job   specifier.JobID
 	Epoch specifier.Epoch
@@ -11,4 +11,4 @@
 	Mark  uint64 // of the Fence that it answers
 }
 
-func (Reported) event() {}
+func (ReportReceived) event() {}
--- a/entry/coordinator/worldactions_test.go
+++ b/entry/coordinator/worldactions_test.go
@@ -89,22 +89,22 @@
 		case executor.Done:
 			w.toEntry(a, action.Entry, coordinator.TaskDone{Agent: a.id, Key: action.Key, Epoch: action.Epoch, Broken: action.Broken,
 				Body: action.Body, Detail: action.Detail, RunTime: action.RunTime})
-			w.toEntry(a, action.Entry, coordinator.Loaded{Agent: a.id, Load: action.Load})
+			w.toEntry(a, action.Entry, coordinator.LoadReceived{Agent: a.id, Load: action.Load})
 		case executor.Refused:
 			w.toEntry(a, action.Entry, coordinator.TaskRefused{Agent: a.id, Key: action.Key, Epoch: action.Epoch, Cause: string(action.Cause)})
-			w.toEntry(a, action.Entry, coordinator.Loaded{Agent: a.id, Load: action.Load})
+			w.toEntry(a, action.Entry, coordinator.LoadReceived{Agent: a.id, Load: action.Load})
 		case executor.Report:
-			w.toEntry(a, action.Entry, coordinator.Reported{Agent: a.id, Job: action.Job, Epoch: action.Epoch, Tasks: action.Tasks, Mark: action.Mark})
+			w.toEntry(a, action.Entry, coordinator.ReportReceived{Agent: a.id, Job: action.Job, Epoch: action.Epoch, Tasks: action.Tasks, Mark: action.Mark})
 		case executor.Greet:
-			w.toEntry(a, action.Entry, coordinator.Loaded{Agent: a.id, Load: action.Load})
+			w.toEntry(a, action.Entry, coordinator.LoadReceived{Agent: a.id, Load: action.Load})
 		case executor.RequestRelease:
-			w.toEntry(a, action.Entry, coordinator.Loaded{Agent: a.id, Load: action.Load})
+			w.toEntry(a, action.Entry, coordinator.LoadReceived{Agent: a.id, Load: action.Load})
 			w.toEntry(a, action.Entry, coordinator.AgentLeaving{Agent: a.id})
 		case executor.Left:
 			a.left = true
 		case executor.Announce:
 			for _, e := range w.entries {
-				w.toEntry(a, e.id, coordinator.Loaded{Agent: a.id, Load: action.Load})
+				w.toEntry(a, e.id, coordinator.LoadReceived{Agent: a.id, Load: action.Load})
 			}
 		}
 	}
--- a/local/benchmarker/entrystand_test.go
+++ b/local/benchmarker/entrystand_test.go
@@ -37,7 +37,7 @@
 		Profiles: map[string]specifier.Profile{"mix": {Name: "mix", Service: service}}}})
 	for _, member := range members {
 		e.machine.Step(e.now, coordinator.AgentConnected{Agent: member.Identity})
-		e.machine.Step(e.now, coordinator.Loaded{Agent: member.Identity, Load: specifier.Load{Slots: slots}})
+		e.machine.Step(e.now, coordinator.LoadReceived{Agent: member.Identity, Load: specifier.Load{Slots: slots}})
 	}
 	return e
 }
@@ -86,7 +86,7 @@
 		case coordinator.Assign:
 			actions = append(actions, e.machine.Step(e.now, coordinator.TaskDone{Agent: action.Agent, Key: action.Key, Epoch: action.Epoch,
 				Body: make([]byte, payload), RunTime: 500 * time.Millisecond})...)
-			actions = append(actions, e.machine.Step(e.now, coordinator.Loaded{Agent: action.Agent, Load: specifier.Load{Slots: slots}})...)
+			actions = append(actions, e.machine.Step(e.now, coordinator.LoadReceived{Agent: action.Agent, Load: specifier.Load{Slots: slots}})...)
 		case coordinator.Propose:
 			actions = append(actions, e.machine.Step(e.now, coordinator.Decided{Command: action.Command,
 				Decision: specifier.Decision{Verdict: specifier.Applied}})...)
--- a/local/transcriber/perform.go
+++ b/local/transcriber/perform.go
@@ -109,17 +109,17 @@
 			s.run(a, action)
 		case executor.Done:
 			s.toEntry(action.Entry, coordinator.TaskDone{Agent: a.id, Key: action.Key, Epoch: action.Epoch, Broken: action.Broken,
-				Body: action.Body, Detail: action.Detail, RunTime: action.RunTime}, coordinator.Loaded{Agent: a.id, Load: action.Load})
+				Body: action.Body, Detail: action.Detail, RunTime: action.RunTime}, coordinator.LoadReceived{Agent: a.id, Load: action.Load})
 		case executor.Refused:
 			s.toEntry(action.Entry, coordinator.TaskRefused{Agent: a.id, Key: action.Key, Epoch: action.Epoch, Cause: string(action.Cause)},
-				coordinator.Loaded{Agent: a.id, Load: action.Load})
+				coordinator.LoadReceived{Agent: a.id, Load: action.Load})
 		case executor.Report:
-			s.toEntry(action.Entry, coordinator.Reported{Agent: a.id, Job: action.Job, Epoch: action.Epoch, Tasks: action.Tasks, Mark: action.Mark})
+			s.toEntry(action.Entry, coordinator.ReportReceived{Agent: a.id, Job: action.Job, Epoch: action.Epoch, Tasks: action.Tasks, Mark: action.Mark})
 		case executor.Greet:
-			s.toEntry(action.Entry, coordinator.Loaded{Agent: a.id, Load: action.Load})
+			s.toEntry(action.Entry, coordinator.LoadReceived{Agent: a.id, Load: action.Load})
 		case executor.Announce:
 			for _, e := range s.entries {
-				s.toEntry(e.id, coordinator.Loaded{Agent: a.id, Load: action.Load})
+				s.toEntry(e.id, coordinator.LoadReceived{Agent: a.id, Load: action.Load})
 			}
 		}
 	}
