--- a/entry/coordinator/coordinator.go
+++ b/entry/coordinator/coordinator.go
@@ -66,7 +66,7 @@
 	switch event := event.(type) {
 	case Submitted:
 		c.submitted(now, event)
-	case Awaited:
+	case AnswerRequested:
 		c.awaited(now, event)
 	case CancelRequested:
 		c.cancelRequested(now, event)
@@ -106,7 +106,7 @@
 		c.out = append(c.out, Reply{Waiter: event.Waiter})
 	case SharesGranted:
 		c.sharesGranted(now, event)
-	case Draining:
+	case DrainRequested:
 		c.drain()
 	}
 	c.dispatch(now)
--- a/entry/coordinator/draining.go
+++ b/entry/coordinator/draining.go
@@ -1,7 +1,7 @@
 package coordinator
 
-// Draining makes the entry refuse new jobs; those in flight go on. Drained follows once nothing is in
+// DrainRequested makes the entry refuse new jobs; those in flight go on. Drained follows once nothing is in
 // flight. Sent again, it asks again, because requests may have come in between.
-type Draining struct{}
+type DrainRequested struct{}
 
-func (Draining) event() {}
+func (DrainRequested) event() {}
--- a/entry/coordinator/leave_test.go
+++ b/entry/coordinator/leave_test.go
@@ -83,7 +83,7 @@
 	e := w.entries[0]
 	first := w.submit(e, newJob(0, 2))
 	w.decideAll(e)
-	w.entry(e, coordinator.Draining{})
+	w.entry(e, coordinator.DrainRequested{})
 	late := w.submit(e, newJob(1, 1))
 	w.decideAll(e)
 	mustOutcome(t, w, late, specifier.NotRun, specifier.Stopping)
--- a/entry/coordinator/owner.go
+++ b/entry/coordinator/owner.go
@@ -24,7 +24,7 @@
 	c.replyCancels(e.Job, answer)
 }
 
-func (c *Coordinator) awaited(now time.Time, e Awaited) {
+func (c *Coordinator) awaited(now time.Time, e AnswerRequested) {
 	job := c.jobs[e.Job]
 	if job == nil || !job.owned() || (!e.Cancel && job.digest != e.Digest) {
 		c.out = append(c.out, Reply{Waiter: e.Waiter, Job: e.Job, Gone: true})
--- a/entry/coordinator/path_test.go
+++ b/entry/coordinator/path_test.go
@@ -155,7 +155,7 @@
 	job := newJob(0, 1)
 	first := w.submit(w.entries[0], job)
 	w.decideAll(w.entries[0])
-	w.entry(w.entries[1], coordinator.Draining{})
+	w.entry(w.entries[1], coordinator.DrainRequested{})
 	second := w.submit(w.entries[1], job)
 	w.settle()
 	mustOutcome(t, w, first, specifier.Complete, "")
@@ -168,7 +168,7 @@
 	w := newWorld(t, 2, 2)
 	job := newJob(0, 1)
 	late := w.submit(w.entries[0], job) // proposed, not decided
-	w.entry(w.entries[1], coordinator.Draining{})
+	w.entry(w.entries[1], coordinator.DrainRequested{})
 	refused := w.submit(w.entries[1], job)
 	w.decideAll(w.entries[1])
 	w.settle()
--- a/entry/coordinator/worldactions_test.go
+++ b/entry/coordinator/worldactions_test.go
@@ -72,7 +72,7 @@
 		if owner.alive && owner.id == question.Owner {
 			waiter := coordinator.Waiter(w.next())
 			owner.asks[waiter] = ask{from: e, id: e.id, job: question.Job}
-			w.entry(owner, coordinator.Awaited{Waiter: waiter, Job: question.Job, Digest: question.Digest, Cancel: question.Cancel})
+			w.entry(owner, coordinator.AnswerRequested{Waiter: waiter, Job: question.Job, Digest: question.Digest, Cancel: question.Cancel})
 			return
 		}
 	}
--- a/entry/responder/peer.go
+++ b/entry/responder/peer.go
@@ -22,7 +22,7 @@
 
 // Await waits for the answer of a job that this entry owns.
 func (p *Peer) Await(ctx context.Context, request *encoder.AwaitRequest) (*encoder.AwaitReply, error) {
-	event := coordinator.Awaited{Cancel: request.Cancel}
+	event := coordinator.AnswerRequested{Cancel: request.Cancel}
 	if len(request.Job) != len(event.Job) || len(request.Digest) != len(event.Digest) {
 		return nil, status.Error(codes.InvalidArgument, "Job, Digest: wrong length")
 	}
--- a/entry/runner/steps.go
+++ b/entry/runner/steps.go
@@ -36,7 +36,7 @@
 }
 
 func (e *Entry) drain(ctx context.Context) error {
-	if err := e.mailbox.Send(ctx, coordinator.Draining{}); err != nil {
+	if err := e.mailbox.Send(ctx, coordinator.DrainRequested{}); err != nil {
 		return err
 	}
 	select {
--- a/local/transcriber/perform.go
+++ b/local/transcriber/perform.go
@@ -82,7 +82,7 @@
 			if owner.alive && owner.id == question.Owner {
 				waiter := coordinator.Waiter(s.next())
 				owner.asks[waiter] = answer
-				s.entry(owner, coordinator.Awaited{Waiter: waiter, Job: question.Job, Digest: question.Digest, Cancel: question.Cancel})
+				s.entry(owner, coordinator.AnswerRequested{Waiter: waiter, Job: question.Job, Digest: question.Digest, Cancel: question.Cancel})
 				return
 			}
 		}
--- a/local/transcriber/script.go
+++ b/local/transcriber/script.go
@@ -75,7 +75,7 @@
 // StopEntry makes entry i refuse new jobs, which is how its planned stop begins.
 func (s *Session) StopEntry(i int) {
 	s.say("%s begins its planned stop", s.entries[i].id.Name)
-	s.entry(s.entries[i], coordinator.Draining{})
+	s.entry(s.entries[i], coordinator.DrainRequested{})
 }
 
 // KillEntry ends entry i without notice.
