--- a/entry/connector/messages.go
+++ b/entry/connector/messages.go
@@ -29,8 +29,8 @@
 	return &encoder.EntryMessage{Fences: []*encoder.Fence{{Job: f.Job[:], Epoch: uint64(f.Epoch), TimeLeft: int64(f.Deadline.Sub(now)), Mark: f.Mark}}}
 }
 
-// EncodeReleased copies every field.
-func EncodeReleased() *encoder.EntryMessage { return &encoder.EntryMessage{Released: true} }
+// EncodeRelease copies every field.
+func EncodeRelease() *encoder.EntryMessage { return &encoder.EntryMessage{Released: true} }
 
 // merge joins leading messages of one kind, so that the order between kinds is kept: an agent
 // handles the assignments of a message before its withdrawals and fences.
--- a/entry/coordinator/leave.go
+++ b/entry/coordinator/leave.go
@@ -37,7 +37,7 @@
 	for _, agent := range slices.SortedFunc(maps.Keys(c.leaving), specifier.Identity.Compare) {
 		if c.linked[agent] && !c.countsOn(agent) {
 			delete(c.leaving, agent)
-			c.out = append(c.out, Released{Agent: agent})
+			c.out = append(c.out, ReleaseAgent{Agent: agent})
 		}
 	}
 }
--- a/entry/coordinator/needshares.go
+++ b/entry/coordinator/needshares.go
@@ -2,9 +2,9 @@
 
 import "oleandertally/core/specifier"
 
-// NeedShares tells what the entry's teams could use; the next renewal of its lease carries it.
-type NeedShares struct {
+// RequestShares tells what the entry's teams could use; the next renewal of its lease carries it.
+type RequestShares struct {
 	Needs []specifier.ServiceShare
 }
 
-func (NeedShares) action() {}
+func (RequestShares) action() {}
--- a/entry/coordinator/quota.go
+++ b/entry/coordinator/quota.go
@@ -38,5 +38,5 @@
 		}
 		needs = append(needs, need)
 	}
-	c.out = append(c.out, NeedShares{Needs: needs})
+	c.out = append(c.out, RequestShares{Needs: needs})
 }
--- a/entry/coordinator/released.go
+++ b/entry/coordinator/released.go
@@ -2,9 +2,9 @@
 
 import "oleandertally/core/specifier"
 
-// Released tells an agent that leaves that no task of this entry is held by it.
-type Released struct {
+// ReleaseAgent tells an agent that leaves that no task of this entry is held by it.
+type ReleaseAgent struct {
 	Agent specifier.Identity
 }
 
-func (Released) action() {}
+func (ReleaseAgent) action() {}
--- a/entry/coordinator/worldactions_test.go
+++ b/entry/coordinator/worldactions_test.go
@@ -33,7 +33,7 @@
 			e.pending = append(e.pending, action.Command)
 		case coordinator.Drained:
 			e.drained = true
-		case coordinator.Released:
+		case coordinator.ReleaseAgent:
 			w.toAgent(e, action.Agent, func(l *linkPair) executor.Event { return executor.Released{Entry: e.id, Link: l.number} })
 		case coordinator.Reply:
 			w.reply(e, action)
--- a/entry/runner/entry.go
+++ b/entry/runner/entry.go
@@ -237,14 +237,14 @@
 		e.agents.Put(action.Agent, connector.EncodeFence(action, time.Now()))
 	case coordinator.AskOwner:
 		e.asker.Ask(action)
-	case coordinator.Released:
-		e.agents.Put(action.Agent, connector.EncodeReleased())
+	case coordinator.ReleaseAgent:
+		e.agents.Put(action.Agent, connector.EncodeRelease())
 	case coordinator.Drained:
 		select {
 		case e.drained <- struct{}{}:
 		default: // asked twice
 		}
-	case coordinator.NeedShares:
+	case coordinator.RequestShares:
 		e.needs.Store(&action.Needs)
 	case coordinator.RecordEvent:
 		e.Events.Add(action.Event)
