--- a/entry/connector/asker.go
+++ b/entry/connector/asker.go
@@ -25,10 +25,10 @@
 // Ask asks in the background. The coordinator gets OwnerAnswered.
 func (a *Asker) Ask(question coordinator.AskOwner) {
 	a.Group.Go(func() error {
-		answer := coordinator.OwnerAnswered{Job: question.Job, Owner: question.Owner, Gone: true}
+		answer := coordinator.OwnerAnswered{Job: question.Job, Owner: question.Owner, Unavailable: true}
 		if reply, err := a.await(question); err == nil && !reply.Gone {
 			if decoded, err := encoder.DecodeAnswer(reply.Answer); err == nil {
-				answer.Gone, answer.Answer = false, decoded
+				answer.Unavailable, answer.Answer = false, decoded
 			}
 		}
 		_ = deliver(a.Ctx, a.Sink, answer)
--- a/entry/coordinator/owner.go
+++ b/entry/coordinator/owner.go
@@ -8,9 +8,9 @@
 
 func (c *Coordinator) ownerAnswered(now time.Time, e OwnerAnswered) {
 	if job := c.jobs[e.Job]; job != nil && job.phase == attached {
-		if e.Gone && job.finished != nil {
+		if e.Unavailable && job.finished != nil {
 			c.fetch(now, job, *job.finished)
-		} else if e.Gone {
+		} else if e.Unavailable {
 			c.retry(now, job)
 		} else {
 			c.give(now, job, e.Answer)
@@ -18,7 +18,7 @@
 		}
 	}
 	answer := e.Answer
-	if e.Gone {
+	if e.Unavailable {
 		answer = specifier.Fail(specifier.Unavailable, "the entry that runs the job can't be reached; cancel again", true)
 	}
 	c.replyCancels(e.Job, answer)
@@ -27,7 +27,7 @@
 func (c *Coordinator) awaited(now time.Time, e AnswerRequested) {
 	job := c.jobs[e.Job]
 	if job == nil || !job.owned() || (!e.Cancel && job.digest != e.Digest) {
-		c.out = append(c.out, Reply{Waiter: e.Waiter, Job: e.Job, Gone: true})
+		c.out = append(c.out, Reply{Waiter: e.Waiter, Job: e.Job, NotOwner: true})
 		return
 	}
 	c.attach(job, job.digest, waiting{waiter: e.Waiter})
--- a/entry/coordinator/reply.go
+++ b/entry/coordinator/reply.go
@@ -4,10 +4,10 @@
 
 // Reply answers one waiter.
 type Reply struct {
-	Waiter Waiter
-	Job    specifier.JobID
-	Gone   bool // to another entry: this entry does not own the job
-	Answer specifier.Answer
+	Waiter   Waiter
+	Job      specifier.JobID
+	NotOwner bool // to another entry: this entry does not own the job
+	Answer   specifier.Answer
 }
 
 func (Reply) action() {}
--- a/entry/coordinator/worldactions_test.go
+++ b/entry/coordinator/worldactions_test.go
@@ -60,7 +60,7 @@
 	if question, ok := e.asks[reply.Waiter]; ok {
 		delete(e.asks, reply.Waiter)
 		if question.from.alive && question.from.id.Name == question.id.Name {
-			w.entry(question.from, coordinator.OwnerAnswered{Job: question.job, Owner: e.id, Gone: reply.Gone, Answer: reply.Answer})
+			w.entry(question.from, coordinator.OwnerAnswered{Job: question.job, Owner: e.id, Unavailable: reply.NotOwner, Answer: reply.Answer})
 		}
 		return
 	}
@@ -76,7 +76,7 @@
 			return
 		}
 	}
-	w.entry(e, coordinator.OwnerAnswered{Job: question.Job, Owner: question.Owner, Gone: true})
+	w.entry(e, coordinator.OwnerAnswered{Job: question.Job, Owner: question.Owner, Unavailable: true})
 }
 
 func (w *world) performAgent(a *agentNode, actions []executor.Action) {
--- a/entry/coordinator/worldfaults_test.go
+++ b/entry/coordinator/worldfaults_test.go
@@ -30,7 +30,7 @@
 	e.asks = make(map[coordinator.Waiter]ask)
 	for _, waiter := range sorted(asks) {
 		if question := asks[waiter]; question.from.alive && question.from != e {
-			w.entry(question.from, coordinator.OwnerAnswered{Job: question.job, Owner: e.id, Gone: true})
+			w.entry(question.from, coordinator.OwnerAnswered{Job: question.job, Owner: e.id, Unavailable: true})
 		}
 	}
 }
--- a/entry/responder/peer.go
+++ b/entry/responder/peer.go
@@ -36,7 +36,7 @@
 	}
 	select {
 	case reply := <-reply:
-		if reply.Gone {
+		if reply.NotOwner {
 			return &encoder.AwaitReply{Gone: true}, nil
 		}
 		return &encoder.AwaitReply{Answer: encoder.EncodeAnswer(reply.Answer)}, nil
--- a/local/transcriber/members.go
+++ b/local/transcriber/members.go
@@ -65,7 +65,7 @@
 	e.asks = nil
 	id := e.id
 	for _, waiter := range sorted(asks) {
-		asks[waiter](coordinator.Reply{Gone: true})
+		asks[waiter](coordinator.Reply{NotOwner: true})
 	}
 	for _, waiter := range sorted(e.callers) {
 		s.say("%s: connection to %s broke", e.callers[waiter], id.Name)
--- a/local/transcriber/perform.go
+++ b/local/transcriber/perform.go
@@ -73,7 +73,7 @@
 	answer := func(reply coordinator.Reply) {
 		s.after(s.site.Hop, func() {
 			if e.alive {
-				s.entry(e, coordinator.OwnerAnswered{Job: question.Job, Owner: question.Owner, Gone: reply.Gone, Answer: reply.Answer})
+				s.entry(e, coordinator.OwnerAnswered{Job: question.Job, Owner: question.Owner, Unavailable: reply.NotOwner, Answer: reply.Answer})
 			}
 		})
 	}
@@ -86,7 +86,7 @@
 				return
 			}
 		}
-		answer(coordinator.Reply{Gone: true})
+		answer(coordinator.Reply{NotOwner: true})
 	})
 }
 
