--- a/entry/requester/requester.go
+++ b/entry/requester/requester.go
@@ -25,8 +25,8 @@
 	Seeds       []netip.AddrPort // controllers to ask first
 	Credentials credentials.TransportCredentials
 	Clock       func() time.Time
-	// Changed is told when a leading controller is found or lost; it must not block.
-	Changed func(controller netip.AddrPort, cause error)
+	// LeaderChanged is told when a leading controller is found or lost; it must not block.
+	LeaderChanged func(controller netip.AddrPort, cause error)
 
 	mailbox *looper.Mailbox[event]
 	seeker  *locator.Locator[*encoder.QueueReplies, *encoder.QueueCalls]
@@ -43,14 +43,14 @@
 		Welcome: (*encoder.QueueReplies).GetWelcome,
 		Merge:   merge,
 		Linked: func(ctx context.Context, controller netip.AddrPort, box *looper.Outbox[*encoder.QueueCalls]) error {
-			r.Changed(controller, nil)
+			r.LeaderChanged(controller, nil)
 			return r.mailbox.Send(ctx, linked{box})
 		},
 		Received: func(ctx context.Context, message *encoder.QueueReplies) error {
 			return r.mailbox.Send(ctx, replied{message})
 		},
 		Unlinked: func(ctx context.Context, cause error) error {
-			r.Changed(netip.AddrPort{}, cause)
+			r.LeaderChanged(netip.AddrPort{}, cause)
 			return r.mailbox.Send(ctx, unlinked{})
 		},
 	}
