--- a/entry/coordinator/abandoned.go
+++ b/entry/coordinator/abandoned.go
@@ -2,7 +2,7 @@
 
 import "oleandertally/core/specifier"
 
-// Abandoned reports that a waiter's connection closed. The job goes on.
+// Abandoned reports that a waiter's connection closed. The job continues.
 type Abandoned struct {
 	Waiter Waiter
 	Job    specifier.JobID
--- a/entry/coordinator/action.go
+++ b/entry/coordinator/action.go
@@ -1,4 +1,4 @@
 package coordinator
 
-// Action is something that the entry does.
+// Action is an effect that the coordinator requests from the entry.
 type Action interface{ action() }
--- a/entry/coordinator/agentleaving.go
+++ b/entry/coordinator/agentleaving.go
@@ -2,8 +2,7 @@
 
 import "oleandertally/core/specifier"
 
-// AgentLeaving says that an agent has ended everything and waits until this entry counts on nothing
-// from it.
+// AgentLeaving reports that an agent has ended all of its tasks and wants to stop. The agent waits for ReleaseAgent.
 type AgentLeaving struct {
 	Agent specifier.Identity
 }
--- a/entry/coordinator/agentunlinked.go
+++ b/entry/coordinator/agentunlinked.go
@@ -2,8 +2,8 @@
 
 import "oleandertally/core/specifier"
 
-// AgentDisconnected reports that the stream to an agent ended. Nothing is known of its tasks
-// until it is linked again or recorded as Down.
+// AgentDisconnected reports that the stream to an agent ended. The state of its tasks is unknown
+// until the agent reconnects or is recorded as Down.
 type AgentDisconnected struct {
 	Agent specifier.Identity
 }
--- a/entry/coordinator/askowner.go
+++ b/entry/coordinator/askowner.go
@@ -6,7 +6,8 @@
 	"oleandertally/core/specifier"
 )
 
-// AskOwner waits at another entry for the answer of a job that it owns.
+// AskOwner requests the answer of a job from the entry that owns it, and waits for it. With Cancel, the owner
+// cancels the job first.
 type AskOwner struct {
 	Owner  specifier.Identity
 	Addr   netip.AddrPort
--- a/entry/coordinator/assign.go
+++ b/entry/coordinator/assign.go
@@ -6,8 +6,8 @@
 	"oleandertally/core/specifier"
 )
 
-// Assign sends a task to an agent. Order and Deadline are on this entry's clock; they cross
-// the link as an age and as the time left.
+// Assign sends a task to an agent. Order (the time by which tasks are ordered) and Deadline are on this entry's
+// clock; they are sent as an age and as the time left.
 type Assign struct {
 	Agent    specifier.Identity
 	Key      specifier.TaskKey
--- a/entry/coordinator/cancellation.go
+++ b/entry/coordinator/cancellation.go
@@ -14,13 +14,13 @@
 		return
 	}
 	c.cancels[e.Job] = append(c.cancels[e.Job], e.Waiter)
-	c.out = append(c.out, Propose{specifier.CancelJob{Job: e.Job}})
+	c.actions = append(c.actions, Propose{specifier.CancelJob{Job: e.Job}})
 }
 
-// cancel ends a job that this entry owns. While the agents' records are collected the former
-// owner may have answered already, so the cancellation waits for them.
+// cancel ends a job that this entry owns. While the agents' reports are being collected, the former owner may
+// already have answered, so the cancellation waits for the reports.
 func (c *Coordinator) cancel(now time.Time, job *job) {
-	job.cancel = true
+	job.cancelled = true
 	if job.phase == running {
 		c.fail(now, job, specifier.Cancelled, "the caller cancelled the job")
 	}
@@ -32,7 +32,7 @@
 	case d.Verdict == specifier.Finished:
 		c.replyCancels(id, d.Answer)
 	case d.Verdict == specifier.Attached && !d.OwnerDown:
-		c.out = append(c.out, AskOwner{Owner: d.Owner, Addr: d.OwnerAddr, Job: id, Cancel: true})
+		c.actions = append(c.actions, AskOwner{Owner: d.Owner, Addr: d.OwnerAddr, Job: id, Cancel: true})
 	default:
 		c.replyCancels(id, specifier.Fail(specifier.Unavailable, "the job could not be cancelled now; cancel again", true))
 	}
@@ -40,7 +40,7 @@
 
 func (c *Coordinator) replyCancels(id specifier.JobID, answer specifier.Answer) {
 	for _, waiter := range c.cancels[id] {
-		c.out = append(c.out, Reply{Waiter: waiter, Job: id, Answer: answer})
+		c.actions = append(c.actions, Reply{Waiter: waiter, Job: id, Answer: answer})
 	}
 	delete(c.cancels, id)
 }
--- a/entry/coordinator/collection.go
+++ b/entry/coordinator/collection.go
@@ -8,27 +8,27 @@
 	"oleandertally/core/specifier"
 )
 
-// collect asks every agent for its record of the job, once the membership of the decision is known.
-func (c *Coordinator) collect(now time.Time, job *job, d specifier.Decision) {
+// collectReports asks every agent for its record of the job, once this entry knows the membership of the decision.
+func (c *Coordinator) collectReports(now time.Time, job *job, d specifier.Decision) {
 	job.phase = collecting
-	job.members = d.MemberVersion
-	c.askAgents(now, job)
+	job.memberVersion = d.MemberVersion
+	c.requestReports(now, job)
 }
 
-func (c *Coordinator) askAgents(now time.Time, job *job) {
-	if c.memberVersion < job.members {
+func (c *Coordinator) requestReports(now time.Time, job *job) {
+	if c.memberVersion < job.memberVersion {
 		return
 	}
-	if c.memberVersion > job.members {
-		// An agent may have left since the decision without ever being listed here: the decision is
-		// asked for again, with those that departed up to now.
+	if c.memberVersion > job.memberVersion {
+		// An agent may have departed after the decision without this entry ever listing it. A new decision
+		// names all agents that have departed up to now.
 		c.retry(now, job)
 		return
 	}
-	job.asked = make(map[specifier.Identity]bool)
+	job.awaitedReports = make(map[specifier.Identity]bool)
 	for _, agent := range slices.SortedFunc(maps.Keys(c.agents), specifier.Identity.Compare) {
-		job.asked[agent] = true
-		if c.linked[agent] {
+		job.awaitedReports[agent] = true
+		if c.connected[agent] {
 			c.fence(job, agent)
 		}
 	}
@@ -36,32 +36,32 @@
 }
 
 func (c *Coordinator) fence(job *job, agent specifier.Identity) {
-	c.mark++
-	c.out = append(c.out, Fence{Agent: agent, Job: job.spec.ID, Epoch: job.epoch, Deadline: job.spec.Deadline, Mark: c.mark})
+	c.lastMark++
+	c.actions = append(c.actions, Fence{Agent: agent, Job: job.spec.ID, Epoch: job.epoch, Deadline: job.spec.Deadline, Mark: c.lastMark})
 }
 
-func (c *Coordinator) reported(now time.Time, e ReportReceived) {
+func (c *Coordinator) reportReceived(now time.Time, e ReportReceived) {
 	job := c.jobs[e.Job]
 	if job == nil || (job.phase != running && job.phase != collecting) {
 		return
 	}
-	if e.Epoch > job.epoch && !job.fetched {
+	if e.Epoch > job.epoch && !job.resultsOnly {
 		c.superseded(now, job)
 		return
 	}
-	if !c.merge(now, job, e) {
+	if !c.mergeReport(now, job, e) {
 		return
 	}
-	if job.phase == collecting && job.asked != nil {
-		delete(job.asked, e.Agent)
+	if job.phase == collecting && job.awaitedReports != nil {
+		delete(job.awaitedReports, e.Agent)
 		c.finishCollecting(now, job)
 		return
 	}
 	c.completeIfDone(now, job)
 }
 
-// merge takes over an agent's record. It returns false when the job failed by it.
-func (c *Coordinator) merge(now time.Time, job *job, e ReportReceived) bool {
+// mergeReport applies an agent's record to the job. It returns false if the record made the job fail.
+func (c *Coordinator) mergeReport(now time.Time, job *job, e ReportReceived) bool {
 	listed := make(map[string]bool, len(e.Tasks))
 	for _, report := range e.Tasks {
 		listed[report.Task] = true
@@ -72,50 +72,50 @@
 		switch report.State {
 		case specifier.TaskEnded:
 			c.Scheduler.Done(now, e.Agent, specifier.TaskKey{Job: e.Job, Task: report.Task}, true, 0)
-			job.finish(i, report.Body)
+			job.setResult(i, report.Body)
 		case specifier.TaskBroken:
-			job.slots[i].held = e.Agent
+			job.slots[i].agent = e.Agent
 			c.failTask(now, job, report.Task, e.Agent, report.Detail)
-			return job.fetched
+			return job.resultsOnly
 		default:
-			job.slots[i].held = e.Agent
+			job.slots[i].agent = e.Agent
 		}
 	}
 	for i := range job.slots {
-		// What this entry sent before it asked and the agent does not list never arrived there. What
-		// was sent after the question may be on its way: taking it for lost would start it twice.
-		if job.slots[i].held == e.Agent && job.slots[i].mark < e.Mark && !listed[job.slots[i].result.Task] {
-			job.slots[i].held = specifier.Identity{}
+		// A task that was sent before the fence and that the agent does not list never arrived. A task that
+		// was sent after the fence may be in transit: treating it as lost would start it twice.
+		if job.slots[i].agent == e.Agent && job.slots[i].mark < e.Mark && !listed[job.slots[i].result.Task] {
+			job.slots[i].agent = specifier.Identity{}
 			c.Scheduler.Refused(now, e.Agent, specifier.TaskKey{Job: e.Job, Task: job.slots[i].result.Task})
 		}
 	}
 	return true
 }
 
-// finishCollecting goes on once every agent has reported or is gone.
+// finishCollecting continues the job once every agent has reported or departed.
 func (c *Coordinator) finishCollecting(now time.Time, job *job) {
 	switch {
-	case job.phase != collecting || len(job.asked) > 0:
-	case job.fetched && job.left == 0:
-		c.give(now, job, job.complete())
+	case job.phase != collecting || len(job.awaitedReports) > 0:
+	case job.resultsOnly && job.remaining == 0:
+		c.answerAll(now, job, job.completeAnswer())
 		delete(c.jobs, job.spec.ID)
-	case job.fetched:
-		c.give(now, job, specifier.Fail(specifier.ResultsLost, "the job completed, but its results are no longer held", true))
+	case job.resultsOnly:
+		c.answerAll(now, job, specifier.Fail(specifier.ResultsLost, "the job completed, but its results are no longer held", true))
 		delete(c.jobs, job.spec.ID)
-	case job.left == 0:
+	case job.remaining == 0:
 		c.run(now, job)
-	case job.unknown && c.missing(job) && (job.cancel || !job.profile.Repeatable):
+	case job.recordMissing && c.hasUnknownTask(job) && (job.cancelled || !job.profile.Repeatable):
 		// The former owner may have had every result and answered.
 		c.fail(now, job, specifier.OwnerLost, "the entry that ran the job was lost, and so was a worker that may have run a task")
-	case job.cancel:
+	case job.cancelled:
 		c.fail(now, job, specifier.Cancelled, "the caller cancelled the job")
 	default:
-		job.doubtful = job.unknown
+		job.maybeAnswered = job.recordMissing
 		c.run(now, job)
 	}
 }
 
-// missing reports whether no agent knows of some task.
-func (c *Coordinator) missing(job *job) bool {
-	return slices.ContainsFunc(job.slots, func(s slot) bool { return !s.done && s.held.IsZero() })
+// hasUnknownTask reports whether some task is neither done nor known to any agent.
+func (c *Coordinator) hasUnknownTask(job *job) bool {
+	return slices.ContainsFunc(job.slots, func(s slot) bool { return !s.done && s.agent.IsZero() })
 }
--- a/entry/coordinator/configuration.go
+++ b/entry/coordinator/configuration.go
@@ -18,7 +18,7 @@
 }
 
 func (c *Coordinator) reviewStale(now time.Time, job *job) {
-	if c.configuration.Revision >= job.need {
+	if c.configuration.Revision >= job.minRevision {
 		c.propose(now, job)
 	}
 }
--- a/entry/coordinator/coordinator.go
+++ b/entry/coordinator/coordinator.go
@@ -11,38 +11,38 @@
 )
 
 const (
-	// decideBound is how long a caller waits for the controllers before it is told that
-	// they can't be reached.
-	decideBound = 5 * time.Second
-	// recordBound is how long a failure waits to be recorded before it is answered.
-	recordBound = time.Second
-	// answerRetention is how long an answer is kept here; later repeats collect it from the agents.
+	// decisionTimeout is how long a caller waits for a decision of the controllers before the entry answers that
+	// they did not decide.
+	decisionTimeout = 5 * time.Second
+	// recordTimeout is how long a failure waits to be recorded before the entry answers without a record.
+	recordTimeout = time.Second
+	// answerRetention is how long the entry keeps an answer. A job that is resubmitted later collects its results from the agents.
 	answerRetention = 30 * time.Second
-	// retryFirst and retryMost bound the wait before a job is proposed again.
-	retryFirst = 20 * time.Millisecond
-	retryMost  = 400 * time.Millisecond
+	// minRetryInterval and retryMost bound the wait before a job is proposed again.
+	minRetryInterval = 20 * time.Millisecond
+	maxRetryInterval = 400 * time.Millisecond
 )
 
 // Coordinator is the control state of an entry. Exported fields are set before the first Step.
 type Coordinator struct {
-	MaxJobs   int        // jobs held at once, of which those that are not answered count first; more are not even looked up
-	Rand      *rand.Rand // jitter
+	MaxJobs   int        // retained at once; recorded answers are evicted for new jobs, and beyond that new jobs are refused without a lookup
+	Rand      *rand.Rand // of the retry jitter
 	Scheduler *scheduler.Scheduler
 
-	self          specifier.Identity
-	jobs          map[specifier.JobID]*job
-	cancels       map[specifier.JobID][]Waiter     // wait for CancelJob
-	settledJobs   container.Queue[specifier.JobID] // answered and recorded, oldest first
-	timers        container.Heap[timer]
-	configuration specifier.Configuration
-	agents        map[specifier.Identity]specifier.Member // Up or Draining
-	memberVersion uint64
-	linked        map[specifier.Identity]bool
-	mark          uint64 // counts assignments and fences
-	draining      bool
-	drainAsked    bool                        // Drained is still to be said
-	leaving       map[specifier.Identity]bool // agents that wait to be released
-	out           []Action
+	self           specifier.Identity
+	jobs           map[specifier.JobID]*job
+	cancels        map[specifier.JobID][]Waiter     // requests that wait for the decision on CancelJob
+	recordedJobs   container.Queue[specifier.JobID] // jobs whose answer is recorded, oldest first
+	timers         container.Heap[timer]
+	configuration  specifier.Configuration
+	agents         map[specifier.Identity]specifier.Member // Up or Draining
+	memberVersion  uint64
+	connected      map[specifier.Identity]bool
+	lastMark       uint64 // number of the last assignment or fence
+	draining       bool
+	drainedPending bool                        // Drained is due once the entry is idle
+	leaving        map[specifier.Identity]bool // agents that wait for ReleaseAgent
+	actions        []Action
 }
 
 // New returns a coordinator that knows no members and no configuration.
@@ -55,19 +55,19 @@
 		cancels:   make(map[specifier.JobID][]Waiter),
 		timers:    container.Heap[timer]{Less: timer.less},
 		agents:    make(map[specifier.Identity]specifier.Member),
-		linked:    make(map[specifier.Identity]bool),
+		connected: make(map[specifier.Identity]bool),
 		leaving:   make(map[specifier.Identity]bool),
 	}
 }
 
 // Step handles one event.
 func (c *Coordinator) Step(now time.Time, event Event) []Action {
-	c.out = nil
+	c.actions = nil
 	switch event := event.(type) {
 	case Submitted:
 		c.submitted(now, event)
 	case AnswerRequested:
-		c.awaited(now, event)
+		c.answerRequested(now, event)
 	case CancelRequested:
 		c.cancelRequested(now, event)
 	case Abandoned:
@@ -81,13 +81,13 @@
 	case TaskRefused:
 		c.taskRefused(now, event)
 	case ReportReceived:
-		c.reported(now, event)
+		c.reportReceived(now, event)
 	case LoadReceived:
 		c.Scheduler.Reported(now, event.Agent, event.Load)
 	case AgentConnected:
-		c.agentLinked(now, event.Agent)
+		c.agentConnected(now, event.Agent)
 	case AgentDisconnected:
-		delete(c.linked, event.Agent)
+		delete(c.connected, event.Agent)
 		delete(c.leaving, event.Agent)
 		c.Scheduler.SetLinked(now, event.Agent, false)
 	case MembersChanged:
@@ -96,28 +96,28 @@
 		c.configured(now, event.Configuration)
 	case Identified:
 		if c.self != event.Self {
-			c.disown(now)
+			c.relinquishJobs(now)
 			c.self = event.Self
 		}
 		c.reportNeeds()
 	case AgentLeaving:
 		c.agentLeaving(now, event.Agent)
 	case Pinged:
-		c.out = append(c.out, Reply{Waiter: event.Waiter})
+		c.actions = append(c.actions, Reply{Waiter: event.Waiter})
 	case SharesGranted:
 		c.sharesGranted(now, event)
 	case DrainRequested:
 		c.drain()
 	}
 	c.dispatch(now)
-	c.release()
+	c.releaseAgents()
 	c.reportDrained()
-	return c.out
+	return c.actions
 }
 
 // Expire handles the timers that are due.
 func (c *Coordinator) Expire(now time.Time) []Action {
-	c.out = nil
+	c.actions = nil
 	for {
 		next, ok := c.timers.Peek()
 		if !ok || next.at.After(now) {
@@ -125,13 +125,13 @@
 		}
 		c.timers.Pop()
 		if job := c.jobs[next.job]; job != nil {
-			c.wake(now, job)
+			c.handleDeadlines(now, job)
 		}
 	}
 	c.dispatch(now)
-	c.release()
+	c.releaseAgents()
 	c.reportDrained()
-	return c.out
+	return c.actions
 }
 
 // Next returns the earliest deadline.
@@ -153,7 +153,7 @@
 	return len(c.cancels) == 0
 }
 
-// dispatch sends what agents have room for.
+// dispatch sends the tasks for which agents have free slots.
 func (c *Coordinator) dispatch(now time.Time) {
 	for _, each := range c.Scheduler.Dispatch(now) {
 		job := c.jobs[each.Item.Key.Job]
@@ -161,74 +161,74 @@
 			continue
 		}
 		i := job.index[each.Item.Key.Task]
-		c.mark++
-		job.slots[i].held, job.slots[i].mark = each.Agent, c.mark
-		c.note(recorder.TaskAssigned, job, each.Item.Key.Task, each.Agent.Name, "")
-		c.out = append(c.out, Assign{Agent: each.Agent, Key: each.Item.Key, Epoch: job.epoch, Payload: job.spec.Tasks[i].Payload,
+		c.lastMark++
+		job.slots[i].agent, job.slots[i].mark = each.Agent, c.lastMark
+		c.recordEvent(recorder.TaskAssigned, job, each.Item.Key.Task, each.Agent.Name, "")
+		c.actions = append(c.actions, Assign{Agent: each.Agent, Key: each.Item.Key, Epoch: job.epoch, Payload: job.spec.Tasks[i].Payload,
 			Order: each.Item.Order.At, Deadline: job.spec.Deadline, Profile: job.spec.Profile})
 	}
 }
 
-// wake handles whatever is due for the job.
-func (c *Coordinator) wake(now time.Time, job *job) {
-	late := !job.spec.Deadline.After(now)
+// handleDeadlines handles the job's deadlines that have passed.
+func (c *Coordinator) handleDeadlines(now time.Time, job *job) {
+	expired := !job.spec.Deadline.After(now)
 	switch job.phase {
 	case refusing, proposing, stale, backingOff:
 		switch {
-		case late || !job.silent.Add(decideBound).After(now):
-			c.give(now, job, specifier.Fail(specifier.Unavailable,
+		case expired || !job.undecidedSince.Add(decisionTimeout).After(now):
+			c.answerAll(now, job, specifier.Fail(specifier.Unavailable,
 				"the controllers did not decide in time; an earlier submission under this key may have run", true))
 			delete(c.jobs, job.spec.ID)
 		case job.phase == backingOff && !job.retryAt.After(now):
 			c.propose(now, job)
 		}
 	case attached:
-		if late {
-			c.give(now, job, specifier.Fail(specifier.StillRunning, "another entry runs the job past this deadline", true))
+		if expired {
+			c.answerAll(now, job, specifier.Fail(specifier.StillRunning, "another entry runs the job past this deadline", true))
 			delete(c.jobs, job.spec.ID)
 		}
 	case collecting:
-		if late && job.fetched {
-			c.give(now, job, specifier.Fail(specifier.ResultsLost, "the job completed, but its results could not be collected in time", true))
+		if expired && job.resultsOnly {
+			c.answerAll(now, job, specifier.Fail(specifier.ResultsLost, "the job completed, but its results could not be collected in time", true))
 			delete(c.jobs, job.spec.ID)
-		} else if late {
+		} else if expired {
 			c.fail(now, job, specifier.OwnerLost, "the deadline passed before every worker had reported what the lost entry had started")
 		}
 	case running:
-		if late {
+		if expired {
 			c.fail(now, job, specifier.TimedOut, "the deadline passed")
 		}
 	case recording:
 		if !job.recordBy.After(now) {
-			job.answer = unrecorded(job.answer)
-			c.give(now, job, job.answer)
+			job.answer = unrecordedAnswer(job.answer)
+			c.answerAll(now, job, job.answer)
 			delete(c.jobs, job.spec.ID)
 		}
 	case answered:
-		if !job.keep.After(now) && job.recorded {
+		if !job.retainUntil.After(now) && job.recorded {
 			delete(c.jobs, job.spec.ID)
-		} else if !job.keep.After(now) {
-			c.wakeAt(job, now.Add(answerRetention))
+		} else if !job.retainUntil.After(now) {
+			c.setTimer(job, now.Add(answerRetention))
 		}
 	}
 }
 
-// unrecorded turns an answer that the controllers have not recorded into one that stays true
-// if another entry takes the job over and completes it.
-func unrecorded(answer specifier.Answer) specifier.Answer {
+// unrecordedAnswer turns an answer that the controllers have not recorded into one that stays true
+// if another entry takes over the job and completes it.
+func unrecordedAnswer(answer specifier.Answer) specifier.Answer {
 	return specifier.Fail(specifier.Unavailable, "the outcome could not be recorded: "+string(answer.Reason)+": "+answer.Detail, true)
 }
 
-func (c *Coordinator) wakeAt(job *job, at time.Time) {
+func (c *Coordinator) setTimer(job *job, at time.Time) {
 	c.timers.Push(timer{at: at, job: job.spec.ID})
 }
 
-func (c *Coordinator) note(kind recorder.Kind, job *job, task, other, detail string) {
-	c.out = append(c.out, RecordEvent{recorder.Event{Kind: kind, Job: job.spec.ID, Task: task, Epoch: job.epoch, Other: other, Detail: detail}})
+func (c *Coordinator) recordEvent(kind recorder.Kind, job *job, task, other, detail string) {
+	c.actions = append(c.actions, RecordEvent{recorder.Event{Kind: kind, Job: job.spec.ID, Task: task, Epoch: job.epoch, Other: other, Detail: detail}})
 }
 
-// give answers every waiter of the job.
-func (c *Coordinator) give(now time.Time, job *job, answer specifier.Answer) {
+// answerAll sends the answer to every waiter of the job.
+func (c *Coordinator) answerAll(now time.Time, job *job, answer specifier.Answer) {
 	job.answer = answer
 	job.phase = answered
 	for _, waiting := range job.waiters {
@@ -239,7 +239,7 @@
 
 func (c *Coordinator) reply(job *job, to waiting) {
 	if to.caller {
-		c.note(recorder.JobAnswered, job, "", "", recorder.AnswerDetail(job.answer))
+		c.recordEvent(recorder.JobAnswered, job, "", "", recorder.AnswerDetail(job.answer))
 	}
-	c.out = append(c.out, Reply{Waiter: to.waiter, Job: job.spec.ID, Answer: job.answer})
+	c.actions = append(c.actions, Reply{Waiter: to.waiter, Job: job.spec.ID, Answer: job.answer})
 }
--- a/entry/coordinator/decision.go
+++ b/entry/coordinator/decision.go
@@ -28,8 +28,8 @@
 	job := c.jobs[id]
 	if job == nil {
 		if d.Verdict == specifier.Accepted && replaces == 0 {
-			// The callers were told that nobody decided in time. Nothing was sent to an agent.
-			c.out = append(c.out, Propose{specifier.ReleaseJob{Job: id, Owner: owner, Epoch: d.Epoch}})
+			// The callers were answered when the decision timeout passed. No task was sent to an agent.
+			c.actions = append(c.actions, Propose{specifier.ReleaseJob{Job: id, Owner: owner, Epoch: d.Epoch}})
 		}
 		return
 	}
@@ -48,15 +48,15 @@
 	case specifier.Finished:
 		c.finishedEarlier(now, job, d)
 	case specifier.Conflict:
-		c.give(now, job, specifier.Refuse(specifier.KeyReused, "the key was used with another body"))
+		c.answerAll(now, job, specifier.Refuse(specifier.KeyReused, "the key was used with another body"))
 		delete(c.jobs, job.spec.ID)
 	case specifier.Full:
 		answer := specifier.Refuse(specifier.Overloaded, "the controllers remember as many submissions as they can")
 		answer.RetryAfter = time.Second
-		c.give(now, job, answer)
+		c.answerAll(now, job, answer)
 		delete(c.jobs, job.spec.ID)
 	case specifier.Stale:
-		job.phase, job.need = stale, d.Revision
+		job.phase, job.minRevision = stale, d.Revision
 		c.reviewStale(now, job)
 	default:
 		c.retry(now, job)
@@ -64,20 +64,20 @@
 }
 
 func (c *Coordinator) accepted(now time.Time, job *job, d specifier.Decision) {
-	// An epoch that this job already had is not a new run: its tasks may have started under it.
-	again := d.Epoch == job.epoch
+	// If the job already has this epoch, the decision starts no new run: tasks may have started under the epoch.
+	sameEpoch := d.Epoch == job.epoch
 	job.epoch = d.Epoch
-	if job.replaces != 0 || again {
-		c.note(recorder.JobTaken, job, "", "", "")
-		job.unknown = again || len(d.Departed) > 0
+	if job.replaces != 0 || sameEpoch {
+		c.recordEvent(recorder.JobTaken, job, "", "", "")
+		job.recordMissing = sameEpoch || len(d.Departed) > 0
 		for _, agent := range d.Departed {
-			c.noteDown(agent)
+			c.recordMemberDown(agent)
 		}
-		c.collect(now, job, d)
+		c.collectReports(now, job, d)
 		return
 	}
-	c.note(recorder.JobAccepted, job, "", "", "")
-	if job.cancel {
+	c.recordEvent(recorder.JobAccepted, job, "", "", "")
+	if job.cancelled {
 		c.fail(now, job, specifier.Cancelled, "the caller cancelled the job")
 		return
 	}
@@ -87,43 +87,43 @@
 func (c *Coordinator) attachedElsewhere(now time.Time, job *job, d specifier.Decision) {
 	switch {
 	case d.Owner == c.self:
-		// An earlier proposal of this entry took the job over after its callers had been answered.
+		// An earlier proposal of this entry was accepted after its callers had been answered.
 		job.replaces = d.Epoch
 		c.propose(now, job)
 	case d.OwnerDown && job.refusal != nil:
-		c.give(now, job, specifier.Fail(specifier.Unavailable, "the entry that ran the job is down, and this one can't take it over: "+job.refusal.Detail, true))
+		c.answerAll(now, job, specifier.Fail(specifier.Unavailable, "the entry that ran the job is down, and this one can't take it over: "+job.refusal.Detail, true))
 		delete(c.jobs, job.spec.ID)
 	case d.OwnerDown:
 		job.replaces = d.Epoch
 		c.propose(now, job)
 	default:
 		job.phase = attached
-		c.note(recorder.JobAttached, job, "", d.Owner.Name, "")
-		c.out = append(c.out, AskOwner{Owner: d.Owner, Addr: d.OwnerAddr, Job: job.spec.ID, Digest: job.digest})
+		c.recordEvent(recorder.JobAttached, job, "", d.Owner.Name, "")
+		c.actions = append(c.actions, AskOwner{Owner: d.Owner, Addr: d.OwnerAddr, Job: job.spec.ID, Digest: job.digest})
 	}
 }
 
 func (c *Coordinator) finishedEarlier(now time.Time, job *job, d specifier.Decision) {
 	if d.Answer.Outcome != specifier.Complete {
-		c.give(now, job, d.Answer)
+		c.answerAll(now, job, d.Answer)
 		delete(c.jobs, job.spec.ID)
 		return
 	}
 	if !d.OwnerDown && d.Owner != c.self {
-		// The owner keeps the answer for a while, also after an agent that held a result has left.
+		// The owner retains the answer for a while, even after an agent that has a result departs.
 		job.finished = &d
 		job.phase = attached
-		c.out = append(c.out, AskOwner{Owner: d.Owner, Addr: d.OwnerAddr, Job: job.spec.ID, Digest: job.digest})
+		c.actions = append(c.actions, AskOwner{Owner: d.Owner, Addr: d.OwnerAddr, Job: job.spec.ID, Digest: job.digest})
 		return
 	}
-	c.fetch(now, job, d)
+	c.collectResults(now, job, d)
 }
 
-// fetch collects the results of a finished job from the agents.
-func (c *Coordinator) fetch(now time.Time, job *job, d specifier.Decision) {
+// collectResults starts to collect the results of a finished job from the agents.
+func (c *Coordinator) collectResults(now time.Time, job *job, d specifier.Decision) {
 	job.epoch = d.Epoch
-	job.fetched = true
-	c.collect(now, job, d)
+	job.resultsOnly = true
+	c.collectReports(now, job, d)
 }
 
 func (c *Coordinator) finishDecided(now time.Time, command specifier.FinishJob, d specifier.Decision) {
@@ -133,16 +133,16 @@
 	}
 	switch job.phase {
 	case answered:
-		c.settled(job)
+		c.markRecorded(job)
 	case recording:
 		if d.Verdict != specifier.Finished {
-			c.give(now, job, specifier.Fail(specifier.Superseded, "another entry took the job over", true))
+			c.answerAll(now, job, specifier.Fail(specifier.Superseded, "another entry took the job over", true))
 			delete(c.jobs, command.Job)
 			return
 		}
-		c.give(now, job, job.answer)
-		c.settled(job)
-		job.keep = now.Add(answerRetention)
-		c.wakeAt(job, job.keep)
+		c.answerAll(now, job, job.answer)
+		c.markRecorded(job)
+		job.retainUntil = now.Add(answerRetention)
+		c.setTimer(job, job.retainUntil)
 	}
 }
--- a/entry/coordinator/drained.go
+++ b/entry/coordinator/drained.go
@@ -1,6 +1,6 @@
 package coordinator
 
-// Drained says that every job is answered and recorded.
+// Drained reports, after a DrainRequested, that every job is answered and recorded.
 type Drained struct{}
 
 func (Drained) action() {}
--- a/entry/coordinator/event.go
+++ b/entry/coordinator/event.go
@@ -1,4 +1,4 @@
 package coordinator
 
-// Event is something that happened to the entry.
+// Event is an input of the coordinator.
 type Event interface{ event() }
--- a/entry/coordinator/fence.go
+++ b/entry/coordinator/fence.go
@@ -12,7 +12,7 @@
 	Job      specifier.JobID
 	Epoch    specifier.Epoch
 	Deadline time.Time
-	Mark     uint64 // comes back in Reported
+	Mark     uint64 // number of the fence, returned in ReportReceived
 }
 
 func (Fence) action() {}
--- a/entry/coordinator/identified.go
+++ b/entry/coordinator/identified.go
@@ -2,8 +2,8 @@
 
 import "oleandertally/core/specifier"
 
-// Identified sets the identity under which this entry proposes new jobs: at the start, and when
-// an earlier incarnation was recorded as Down. It comes with each renewal of the lease.
+// Identified sets the identity under which this entry proposes new jobs. It arrives at the start and with each lease
+// renewal; the identity changes after an earlier incarnation was recorded as Down.
 type Identified struct {
 	Self specifier.Identity
 }
--- a/entry/coordinator/leave.go
+++ b/entry/coordinator/leave.go
@@ -9,43 +9,43 @@
 	"oleandertally/core/specifier"
 )
 
-// drain makes the entry refuse new jobs for good.
+// drain makes the entry refuse new jobs permanently.
 func (c *Coordinator) drain() {
 	if !c.draining {
-		c.out = append(c.out, RecordEvent{recorder.Event{Kind: recorder.MemberDraining}})
+		c.actions = append(c.actions, RecordEvent{recorder.Event{Kind: recorder.MemberDraining}})
 	}
-	c.draining, c.drainAsked = true, true
+	c.draining, c.drainedPending = true, true
 }
 
-// reportDrained answers Draining once nothing is in flight.
+// reportDrained answers DrainRequested once no job is in flight.
 func (c *Coordinator) reportDrained() {
-	if c.drainAsked && c.Idle() {
-		c.drainAsked = false
-		c.out = append(c.out, Drained{})
+	if c.drainedPending && c.Idle() {
+		c.drainedPending = false
+		c.actions = append(c.actions, Drained{})
 	}
 }
 
-// agentLeaving sends the agent nothing more. What was sent before is refused by the agent, or reported
-// after a new stream, before the agent is released.
+// agentLeaving stops sending tasks to the agent. The agent refuses tasks that were sent before, or reports them on a
+// new stream, before it is released.
 func (c *Coordinator) agentLeaving(now time.Time, agent specifier.Identity) {
 	c.Scheduler.SetLinked(now, agent, false)
 	c.leaving[agent] = true
 }
 
-// release lets the agents leave of which no job waits for a task or a report.
-func (c *Coordinator) release() {
+// releaseAgents releases the leaving agents from which no job awaits a task or a report.
+func (c *Coordinator) releaseAgents() {
 	for _, agent := range slices.SortedFunc(maps.Keys(c.leaving), specifier.Identity.Compare) {
-		if c.linked[agent] && !c.countsOn(agent) {
+		if c.connected[agent] && !c.dependsOn(agent) {
 			delete(c.leaving, agent)
-			c.out = append(c.out, ReleaseAgent{Agent: agent})
+			c.actions = append(c.actions, ReleaseAgent{Agent: agent})
 		}
 	}
 }
 
-func (c *Coordinator) countsOn(agent specifier.Identity) bool {
+func (c *Coordinator) dependsOn(agent specifier.Identity) bool {
 	for _, job := range c.jobs {
 		if (job.phase == running || job.phase == collecting) &&
-			(job.asked[agent] || slices.ContainsFunc(job.slots, func(s slot) bool { return s.held == agent })) {
+			(job.awaitedReports[agent] || slices.ContainsFunc(job.slots, func(s slot) bool { return s.agent == agent })) {
 			return true
 		}
 	}
--- a/entry/coordinator/leave_test.go
+++ b/entry/coordinator/leave_test.go
@@ -12,87 +12,87 @@
 	"oleandertally/entry/coordinator"
 )
 
-// leave ends an agent that every entry has released, as its program does.
-func (w *world) leave(a *agentNode) {
-	if a.alive && a.left {
-		w.killAgent(a)
-		w.end(a.id)
-		w.publish()
+// stopReleased terminates an agent once every entry has released it, as the agent program does.
+func (c *cluster) stopReleased(a *agentNode) {
+	if a.alive && a.released {
+		c.killAgent(a)
+		c.recordDown(a.id)
+		c.publish()
 	}
 }
 
-// plannedStep does one thing that can happen while nothing fails but streams.
-func plannedStep(w *world, random *rand.Rand, jobs int) {
-	e := w.entries[random.IntN(len(w.entries))]
-	a := w.agents[random.IntN(len(w.agents))]
-	l := w.link(e, a)
-	switch dice := random.IntN(100); {
-	case dice < 8:
-		w.submit(e, newJob(random.IntN(jobs), 3))
-	case dice < 35:
-		w.decide(e, false)
-	case dice < 70 && a.alive:
-		w.deliver(l)
-	case dice < 85 && a.alive && len(a.running) > 0:
-		w.endRun(a, random.IntN(len(a.running)), executor.RunEnded{})
-	case dice < 90:
-		w.tick(time.Duration(random.IntN(50)) * time.Millisecond)
-		w.renew()
-	case dice < 93:
-		w.disconnect(l, random.IntN(4))
+// plannedStep performs one random step of a run in which only streams fail.
+func plannedStep(c *cluster, random *rand.Rand, jobs int) {
+	e := c.entries[random.IntN(len(c.entries))]
+	a := c.agents[random.IntN(len(c.agents))]
+	s := c.stream(e, a)
+	switch choice := random.IntN(100); {
+	case choice < 8:
+		c.submit(e, newJob(random.IntN(jobs), 3))
+	case choice < 35:
+		c.decide(e, false)
+	case choice < 70 && a.alive:
+		c.deliver(s)
+	case choice < 85 && a.alive && len(a.running) > 0:
+		c.endRun(a, random.IntN(len(a.running)), executor.RunEnded{})
+	case choice < 90:
+		c.tick(time.Duration(random.IntN(50)) * time.Millisecond)
+		c.renew()
+	case choice < 93:
+		c.disconnect(s, random.IntN(4))
 		if a.alive {
-			w.agent(a, executor.Unlinked{Entry: e.id, Link: l.number})
+			c.stepAgent(a, executor.Unlinked{Entry: e.id, Link: s.number})
 		}
-	case dice < 97 && a.alive && !l.up:
-		w.connect(l)
-	case dice >= 97:
-		w.agent(w.agents[0], executor.Leaving{})
+	case choice < 97 && a.alive && !s.open:
+		c.connect(s)
+	case choice >= 97:
+		c.stepAgent(c.agents[0], executor.Leaving{})
 	}
-	w.leave(w.agents[0])
+	c.stopReleased(c.agents[0])
 }
 
-// Guards against a planned stop of an agent that loses a task, a result or a refusal on its way, also when
-// streams break meanwhile.
+// Guards against a planned stop of an agent that loses a task, a result or a refusal in transit, even when
+// streams break during the stop.
 func TestAgentLeavesWithoutLoss(t *testing.T) {
-	left := 0
+	departed := 0
 	for seed := range uint64(400) {
 		random := rand.New(rand.NewPCG(seed, 23))
-		w := newWorld(t, 2, 2)
+		c := newCluster(t, 2, 2)
 		for range 100 + random.IntN(150) {
-			plannedStep(w, random, 4)
+			plannedStep(c, random, 4)
 		}
-		if !w.agents[0].alive {
-			left++
+		if !c.agents[0].alive {
+			departed++
 		}
-		w.settle()
-		w.mustHold()
-		for waiter := range w.asked {
-			answer := w.replies[waiter][0]
+		c.recoverAll()
+		c.mustKeepGuarantees()
+		for waiter := range c.openRequests {
+			answer := c.replies[waiter][0]
 			if answer.Reason == specifier.ResultsLost {
-				continue // a repeat after the job was answered, whose results left with the agent
+				continue // resubmitted after the answer; the results were lost when the agent stopped
 			}
-			must.NotEq(t, specifier.Failed, answer.Outcome, must.Sprintf("seed %d: %s: %s\n%s", seed, answer.Reason, answer.Detail, w.story(w.askedOf[waiter])))
+			must.NotEq(t, specifier.Failed, answer.Outcome, must.Sprintf("seed %d: %s: %s\n%s", seed, answer.Reason, answer.Detail, c.timeline(c.requestJob[waiter])))
 		}
 	}
-	must.Positive(t, left)
+	must.Positive(t, departed)
 }
 
-// Guards against an entry that ends before its answers are recorded, or that takes jobs while it drains.
+// Guards against an entry that stops before its answers are recorded, or that accepts jobs while it drains.
 func TestEntryDrains(t *testing.T) {
-	w := newWorld(t, 1, 1)
-	e := w.entries[0]
-	first := w.submit(e, newJob(0, 2))
-	w.decideAll(e)
-	w.entry(e, coordinator.DrainRequested{})
-	late := w.submit(e, newJob(1, 1))
-	w.decideAll(e)
-	mustOutcome(t, w, late, specifier.NotRun, specifier.Stopping)
-	w.pump()
-	w.endAll()
-	w.pump()
-	mustOutcome(t, w, first, specifier.Complete, "")
+	c := newCluster(t, 1, 1)
+	e := c.entries[0]
+	first := c.submit(e, newJob(0, 2))
+	c.decideAll(e)
+	c.stepEntry(e, coordinator.DrainRequested{})
+	late := c.submit(e, newJob(1, 1))
+	c.decideAll(e)
+	mustOutcome(t, c, late, specifier.NotRun, specifier.Stopping)
+	c.deliverAll()
+	c.endAllRuns()
+	c.deliverAll()
+	mustOutcome(t, c, first, specifier.Complete, "")
 	must.False(t, e.drained)
-	w.decideAll(e)
+	c.decideAll(e)
 	must.True(t, e.drained)
-	w.mustHold()
+	c.mustKeepGuarantees()
 }
--- a/entry/coordinator/loaded.go
+++ b/entry/coordinator/loaded.go
@@ -2,7 +2,7 @@
 
 import "oleandertally/core/specifier"
 
-// LoadReceived carries an agent's own count of its work.
+// LoadReceived carries the load that an agent reports for itself.
 type LoadReceived struct {
 	Agent specifier.Identity
 	Load  specifier.Load
--- a/entry/coordinator/memberschanged.go
+++ b/entry/coordinator/memberschanged.go
@@ -2,7 +2,7 @@
 
 import "oleandertally/core/specifier"
 
-// MembersChanged carries every member that is known, at a version of the replicated membership.
+// MembersChanged carries all known members at one version of the replicated membership.
 type MembersChanged struct {
 	Version uint64
 	Members []specifier.Member
--- a/entry/coordinator/membership.go
+++ b/entry/coordinator/membership.go
@@ -10,11 +10,11 @@
 	"oleandertally/dispatch/scheduler"
 )
 
-func (c *Coordinator) agentLinked(now time.Time, agent specifier.Identity) {
-	c.linked[agent] = true
+func (c *Coordinator) agentConnected(now time.Time, agent specifier.Identity) {
+	c.connected[agent] = true
 	c.Scheduler.SetLinked(now, agent, true)
 	for _, job := range c.sorted(func(j *job) bool { return j.phase == running || j.phase == collecting }) {
-		if job.asked[agent] || slices.Contains(job.holders(), agent) {
+		if job.awaitedReports[agent] || slices.Contains(job.assignedAgents(), agent) {
 			c.fence(job, agent)
 		}
 	}
@@ -26,24 +26,24 @@
 	}
 	c.memberVersion = e.Version
 	if c.expelled(e.Members) {
-		c.disown(now)
+		c.relinquishJobs(now)
 	}
-	gone := maps.Clone(c.agents)
+	departed := maps.Clone(c.agents)
 	clear(c.agents)
 	for _, member := range e.Members {
 		if member.Role == specifier.Agent && member.State != specifier.Down {
 			c.agents[member.Identity] = member
-			delete(gone, member.Identity)
+			delete(departed, member.Identity)
 		}
 	}
 	c.Scheduler.SetMembers(now, e.Members)
-	for _, agent := range slices.SortedFunc(maps.Keys(gone), specifier.Identity.Compare) {
-		delete(c.linked, agent)
+	for _, agent := range slices.SortedFunc(maps.Keys(departed), specifier.Identity.Compare) {
+		delete(c.connected, agent)
 		delete(c.leaving, agent)
-		c.noteDown(agent)
+		c.recordMemberDown(agent)
 	}
 	for _, job := range c.sorted(func(j *job) bool { return j.phase == running || j.phase == collecting }) {
-		c.agentsGone(now, job, gone)
+		c.agentsDeparted(now, job, departed)
 	}
 }
 
@@ -54,44 +54,44 @@
 	})
 }
 
-// disown stops every job that runs under an identity that is recorded as Down, until the record tells who
-// owns it. Another entry may have taken it over and fenced the agents of that time, but not one that joined
-// since: a task sent there would start twice.
-func (c *Coordinator) disown(now time.Time) {
-	for _, job := range c.sorted(func(j *job) bool { return j.phase == running || (j.phase == collecting && !j.fetched) }) {
+// relinquishJobs stops the jobs that run under an identity that is recorded as Down, and asks the controllers who owns
+// them. Another entry may have taken a job over and fenced the agents of that time, but not an agent that joined
+// later: a task sent to that agent would start twice.
+func (c *Coordinator) relinquishJobs(now time.Time) {
+	for _, job := range c.sorted(func(j *job) bool { return j.phase == running || (j.phase == collecting && !j.resultsOnly) }) {
 		c.superseded(now, job)
 	}
 }
 
-func (c *Coordinator) noteDown(agent specifier.Identity) {
-	c.out = append(c.out, RecordEvent{recorder.Event{Kind: recorder.MemberDown, Other: agent.String()}})
+func (c *Coordinator) recordMemberDown(agent specifier.Identity) {
+	c.actions = append(c.actions, RecordEvent{recorder.Event{Kind: recorder.MemberDown, Other: agent.String()}})
 }
 
-// agentsGone handles the loss of agents that are recorded as Down.
-func (c *Coordinator) agentsGone(now time.Time, job *job, gone map[specifier.Identity]specifier.Member) {
-	if job.phase == collecting && job.asked == nil {
-		c.askAgents(now, job)
+// agentsDeparted handles the loss of agents that are recorded as Down.
+func (c *Coordinator) agentsDeparted(now time.Time, job *job, departed map[specifier.Identity]specifier.Member) {
+	if job.phase == collecting && job.awaitedReports == nil {
+		c.requestReports(now, job)
 		return
 	}
-	for _, agent := range slices.SortedFunc(maps.Keys(gone), specifier.Identity.Compare) {
-		if job.asked[agent] {
-			delete(job.asked, agent)
-			job.unknown = true
+	for _, agent := range slices.SortedFunc(maps.Keys(departed), specifier.Identity.Compare) {
+		if job.awaitedReports[agent] {
+			delete(job.awaitedReports, agent)
+			job.recordMissing = true
 		}
-		c.lose(now, job, agent)
+		c.handleLostTasks(now, job, agent)
 	}
 	c.finishCollecting(now, job)
 }
 
-// lose handles the tasks that a lost agent held: they run again only under a profile that
-// says so, since whether they started is not known.
-func (c *Coordinator) lose(now time.Time, job *job, agent specifier.Identity) {
+// handleLostTasks handles the tasks that were assigned to a lost agent. They run again only if the profile is
+// Repeatable, since it is unknown whether they started.
+func (c *Coordinator) handleLostTasks(now time.Time, job *job, agent specifier.Identity) {
 	if job.phase != running && job.phase != collecting {
 		return
 	}
 	var items []scheduler.Item
 	for i := range job.slots {
-		if job.slots[i].held == agent {
+		if job.slots[i].agent == agent {
 			items = append(items, c.item(job, i))
 		}
 	}
@@ -103,21 +103,21 @@
 		return
 	}
 	for i := range job.slots {
-		if job.slots[i].held == agent {
-			job.slots[i].held = specifier.Identity{}
+		if job.slots[i].agent == agent {
+			job.slots[i].agent = specifier.Identity{}
 		}
 	}
-	job.unknown = true
+	job.recordMissing = true
 	if job.phase == running && !c.Scheduler.Repeat(now, items) {
 		c.fail(now, job, specifier.WorkerLost, "worker "+agent.Name+" was lost, and the retry budget of the profile is spent")
 	}
 }
 
-// sorted returns the jobs for which want holds, by id, so that actions come in one order.
-func (c *Coordinator) sorted(want func(*job) bool) []*job {
+// sorted returns the jobs that match, sorted by ID so that the order of actions is deterministic.
+func (c *Coordinator) sorted(matches func(*job) bool) []*job {
 	var jobs []*job
 	for _, job := range c.jobs {
-		if want(job) {
+		if matches(job) {
 			jobs = append(jobs, job)
 		}
 	}
--- a/entry/coordinator/needshares.go
+++ b/entry/coordinator/needshares.go
@@ -2,7 +2,7 @@
 
 import "oleandertally/core/specifier"
 
-// RequestShares tells what the entry's teams could use; the next renewal of its lease carries it.
+// RequestShares reports how many slots the entry's teams could use. The next lease renewal sends the needs to the controllers.
 type RequestShares struct {
 	Needs []specifier.ServiceShare
 }
--- a/entry/coordinator/owner.go
+++ b/entry/coordinator/owner.go
@@ -9,11 +9,11 @@
 func (c *Coordinator) ownerAnswered(now time.Time, e OwnerAnswered) {
 	if job := c.jobs[e.Job]; job != nil && job.phase == attached {
 		if e.Unavailable && job.finished != nil {
-			c.fetch(now, job, *job.finished)
+			c.collectResults(now, job, *job.finished)
 		} else if e.Unavailable {
 			c.retry(now, job)
 		} else {
-			c.give(now, job, e.Answer)
+			c.answerAll(now, job, e.Answer)
 			delete(c.jobs, e.Job)
 		}
 	}
@@ -24,10 +24,10 @@
 	c.replyCancels(e.Job, answer)
 }
 
-func (c *Coordinator) awaited(now time.Time, e AnswerRequested) {
+func (c *Coordinator) answerRequested(now time.Time, e AnswerRequested) {
 	job := c.jobs[e.Job]
 	if job == nil || !job.owned() || (!e.Cancel && job.digest != e.Digest) {
-		c.out = append(c.out, Reply{Waiter: e.Waiter, Job: e.Job, NotOwner: true})
+		c.actions = append(c.actions, Reply{Waiter: e.Waiter, Job: e.Job, NotOwner: true})
 		return
 	}
 	c.attach(job, job.digest, waiting{waiter: e.Waiter})
--- a/entry/coordinator/owneranswered.go
+++ b/entry/coordinator/owneranswered.go
@@ -2,7 +2,7 @@
 
 import "oleandertally/core/specifier"
 
-// OwnerAnswered is the answer of the entry that owns a job, the answer to AskOwner.
+// OwnerAnswered is the answer to AskOwner from the entry that owns the job.
 type OwnerAnswered struct {
 	Job         specifier.JobID
 	Owner       specifier.Identity
--- a/entry/coordinator/phase.go
+++ b/entry/coordinator/phase.go
@@ -1,16 +1,16 @@
 package coordinator
 
-// phase is where a job stands at this entry.
+// phase is the state of a job at this entry.
 type phase int
 
 const (
-	refusing   phase = iota // RefuseJob is undecided: the answer waits for it
+	refusing   phase = iota // RefuseJob is undecided; the answer waits for the decision
 	proposing               // AcceptJob or TakeOverJob is undecided
 	stale                   // waits for a newer configuration
-	backingOff              // proposes again at job.retryAt
+	backingOff              // the entry proposes the job again at job.retryAt
 	attached                // another entry owns the job
-	collecting              // agents are asked for their records
+	collecting              // the entry waits for the agents' records
 	running                 // tasks wait, run or are done
-	recording               // FinishJob or ReleaseJob is undecided: the answer waits for it
+	recording               // FinishJob or ReleaseJob is undecided; the answer waits for the decision
 	answered
 )
--- a/entry/coordinator/pinged.go
+++ b/entry/coordinator/pinged.go
@@ -1,6 +1,6 @@
 package coordinator
 
-// Pinged asks for a Reply to Waiter, which shows that the control goroutine handles events.
+// Pinged asks for a Reply to Waiter, which shows that the control goroutine is handling events.
 type Pinged struct {
 	Waiter Waiter
 }
--- a/entry/coordinator/quota.go
+++ b/entry/coordinator/quota.go
@@ -9,7 +9,7 @@
 	"oleandertally/dispatch/limiter"
 )
 
-// sharesGranted gives the scheduler what the controllers granted.
+// sharesGranted passes the granted slots to the scheduler as leases.
 func (c *Coordinator) sharesGranted(now time.Time, e SharesGranted) {
 	for _, share := range e.Shares {
 		lease := limiter.Lease{Until: e.Until, Contended: share.Contended, Slots: make(map[string]float64, len(share.Teams))}
@@ -20,7 +20,7 @@
 	}
 }
 
-// reportNeeds tells what each team could use of each service. Without teams nothing is limited.
+// reportNeeds requests the slots that each team could use of each service. Without teams no slots are limited.
 func (c *Coordinator) reportNeeds() {
 	if len(c.configuration.Teams) == 0 {
 		return
@@ -38,5 +38,5 @@
 		}
 		needs = append(needs, need)
 	}
-	c.out = append(c.out, RequestShares{Needs: needs})
+	c.actions = append(c.actions, RequestShares{Needs: needs})
 }
--- a/entry/coordinator/released.go
+++ b/entry/coordinator/released.go
@@ -2,7 +2,7 @@
 
 import "oleandertally/core/specifier"
 
-// ReleaseAgent tells an agent that leaves that no task of this entry is held by it.
+// ReleaseAgent tells a leaving agent that this entry awaits no task or report from it.
 type ReleaseAgent struct {
 	Agent specifier.Identity
 }
--- a/entry/coordinator/reply.go
+++ b/entry/coordinator/reply.go
@@ -6,7 +6,7 @@
 type Reply struct {
 	Waiter   Waiter
 	Job      specifier.JobID
-	NotOwner bool // to another entry: this entry does not own the job
+	NotOwner bool // set only in replies to another entry: this entry does not own the job
 	Answer   specifier.Answer
 }
 
--- a/entry/coordinator/room.go
+++ b/entry/coordinator/room.go
@@ -1,32 +1,33 @@
 package coordinator
 
-// settled notes that an answered job is recorded, so that it may be forgotten.
-func (c *Coordinator) settled(job *job) {
+// markRecorded notes that an answered job is recorded, so that it may be forgotten.
+func (c *Coordinator) markRecorded(job *job) {
 	if job.recorded {
 		return
 	}
 	job.recorded = true
-	c.settledJobs.Push(job.spec.ID)
-	// Answers leave at their retention too: no more than twice as many are listed as are held.
-	for c.settledJobs.Len() > 2*c.MaxJobs {
-		c.forgetOldest()
+	c.recordedJobs.Push(job.spec.ID)
+	// Jobs whose retention has passed may still be listed: the list holds at most twice MaxJobs.
+	for c.recordedJobs.Len() > 2*c.MaxJobs {
+		c.evictOldest()
 	}
 }
 
-// makeRoom forgets the oldest recorded answers when the entry holds as many jobs as it may. A repeat
-// then gets the outcome from the controllers and the results from the agents.
-func (c *Coordinator) makeRoom() {
-	for len(c.jobs) >= c.MaxJobs && c.settledJobs.Len() > 0 {
-		c.forgetOldest()
+// freeCapacity evicts the oldest recorded answers while the entry holds MaxJobs jobs. A job that is resubmitted later
+// gets its outcome from the controllers and its results from the agents.
+func (c *Coordinator) freeCapacity() {
+	for len(c.jobs) >= c.MaxJobs && c.recordedJobs.Len() > 0 {
+		c.evictOldest()
 	}
 }
 
-func (c *Coordinator) forgetOldest() {
-	id, _ := c.settledJobs.Pop()
-	if job := c.jobs[id]; job != nil && c.isSettled(job) {
+func (c *Coordinator) evictOldest() {
+	id, _ := c.recordedJobs.Pop()
+	if job := c.jobs[id]; job != nil && c.isEvictable(job) {
 		delete(c.jobs, id)
 	}
 }
 
-// isSettled is false for a later run of a job whose earlier answer is still listed.
-func (c *Coordinator) isSettled(job *job) bool { return job.phase == answered && job.recorded }
+// isEvictable reports whether the job is answered and recorded. It is false for a later run of a job whose earlier answer
+// is still listed.
+func (c *Coordinator) isEvictable(job *job) bool { return job.phase == answered && job.recorded }
--- a/entry/coordinator/room_test.go
+++ b/entry/coordinator/room_test.go
@@ -12,60 +12,60 @@
 	"oleandertally/entry/coordinator"
 )
 
-// Guards against an entry that refuses jobs because it still holds the answers of the last 30 s: with room
-// for 10,000 jobs that is from 333 jobs a second on.
-func TestAnswersMakeRoom(t *testing.T) {
-	const room = 4
-	fill := func(t *testing.T) *world {
-		w := newWorld(t, 1, 2)
-		e := w.entries[0]
-		e.machine = coordinator.New(room, rand.New(rand.NewPCG(1, 1)), &scheduler.Scheduler{})
-		w.entry(e, coordinator.Identified{Self: e.id})
-		w.publish()
-		w.linkAll()
-		for _, l := range w.pairs() {
-			w.disconnect(l, 0)
-			w.connect(l)
+// Guards against an entry that refuses jobs because it still retains the answers of the last 30 s: with a capacity
+// of 10,000 jobs, refusals would start at 333 jobs per second.
+func TestRecordedAnswersAreEvicted(t *testing.T) {
+	const capacity = 4
+	start := func(t *testing.T) *cluster {
+		c := newCluster(t, 1, 2)
+		e := c.entries[0]
+		e.machine = coordinator.New(capacity, rand.New(rand.NewPCG(1, 1)), &scheduler.Scheduler{})
+		c.stepEntry(e, coordinator.Identified{Self: e.id})
+		c.publish()
+		c.connectAll()
+		for _, s := range c.liveStreams() {
+			c.disconnect(s, 0)
+			c.connect(s)
 		}
-		return w
+		return c
 	}
-	finish := func(w *world) {
-		w.decideAll(w.entries[0])
-		w.pump()
-		w.endAll()
-		w.pump()
-		w.decideAll(w.entries[0])
-		w.tick(10 * time.Millisecond) // an agent is sent two tasks in 5 ms at most
+	finish := func(c *cluster) {
+		c.decideAll(c.entries[0])
+		c.deliverAll()
+		c.endAllRuns()
+		c.deliverAll()
+		c.decideAll(c.entries[0])
+		c.tick(10 * time.Millisecond) // an agent is sent at most two tasks within 5 ms
 	}
-	t.Run("recorded answers leave", func(t *testing.T) {
-		w := fill(t)
-		for i := range 5 * room {
-			waiter := w.submit(w.entries[0], newJob(i, 1))
-			finish(w)
-			mustOutcome(t, w, waiter, specifier.Complete, "")
+	t.Run("recorded answers are evicted", func(t *testing.T) {
+		c := start(t)
+		for i := range 5 * capacity {
+			waiter := c.submit(c.entries[0], newJob(i, 1))
+			finish(c)
+			mustOutcome(t, c, waiter, specifier.Complete, "")
 		}
-		w.mustHold()
+		c.mustKeepGuarantees()
 	})
-	t.Run("a repeat still gets its answer", func(t *testing.T) {
-		w := fill(t)
-		for i := range 2 * room {
-			w.submit(w.entries[0], newJob(i, 1))
-			finish(w)
+	t.Run("a resubmitted job still gets its answer", func(t *testing.T) {
+		c := start(t)
+		for i := range 2 * capacity {
+			c.submit(c.entries[0], newJob(i, 1))
+			finish(c)
 		}
-		waiter := w.submit(w.entries[0], newJob(0, 1))
-		finish(w)
-		mustOutcome(t, w, waiter, specifier.Complete, "")
-		must.Len(t, 1, w.replies[waiter][0].Results)
-		mustStart(t, w, newJob(0, 1), 1)
-		w.mustHold()
+		waiter := c.submit(c.entries[0], newJob(0, 1))
+		finish(c)
+		mustOutcome(t, c, waiter, specifier.Complete, "")
+		must.Len(t, 1, c.replies[waiter][0].Results)
+		mustStart(t, c, newJob(0, 1), 1)
+		c.mustKeepGuarantees()
 	})
-	t.Run("jobs in flight stay", func(t *testing.T) {
-		w := fill(t)
-		for i := range room {
-			w.submit(w.entries[0], newJob(i, 1))
+	t.Run("jobs in flight are not evicted", func(t *testing.T) {
+		c := start(t)
+		for i := range capacity {
+			c.submit(c.entries[0], newJob(i, 1))
 		}
-		mustOutcome(t, w, w.submit(w.entries[0], newJob(room, 1)), specifier.Failed, specifier.Overloaded)
-		finish(w)
-		w.mustHold()
+		mustOutcome(t, c, c.submit(c.entries[0], newJob(capacity, 1)), specifier.Failed, specifier.Overloaded)
+		finish(c)
+		c.mustKeepGuarantees()
 	})
 }
--- a/entry/coordinator/run.go
+++ b/entry/coordinator/run.go
@@ -9,12 +9,12 @@
 	"oleandertally/dispatch/scheduler"
 )
 
-// run queues every task that is neither done nor held by an agent.
+// run queues every task that is neither done nor assigned to an agent.
 func (c *Coordinator) run(now time.Time, job *job) {
 	job.phase = running
 	var items []scheduler.Item
 	for i, slot := range job.slots {
-		if !slot.done && slot.held.IsZero() {
+		if !slot.done && slot.agent.IsZero() {
 			items = append(items, c.item(job, i))
 		}
 	}
@@ -29,41 +29,41 @@
 }
 
 func (c *Coordinator) completeIfDone(now time.Time, job *job) {
-	if job.phase != running || job.left > 0 {
+	if job.phase != running || job.remaining > 0 {
 		return
 	}
-	c.give(now, job, job.complete())
+	c.answerAll(now, job, job.completeAnswer())
 	job.recorded = false
-	job.keep = now.Add(answerRetention)
-	c.wakeAt(job, job.keep)
-	// The answer need not wait for its record: the agents hold the same results, so whoever
-	// takes the job over gives the same answer.
-	c.out = append(c.out, Propose{specifier.FinishJob{Job: job.spec.ID, Owner: job.owner, Epoch: job.epoch,
+	job.retainUntil = now.Add(answerRetention)
+	c.setTimer(job, job.retainUntil)
+	// The answer need not wait for its record: the agents keep the same results, so an entry that
+	// takes over the job gives the same answer.
+	c.actions = append(c.actions, Propose{specifier.FinishJob{Job: job.spec.ID, Owner: job.owner, Epoch: job.epoch,
 		Answer: specifier.Answer{Outcome: specifier.Complete}}})
 }
 
-// fail ends a job that this entry owns without its results. The outcome is recorded before it
-// is answered, so that a later repeat gets the same one.
+// fail ends a job that this entry owns without results. The outcome is recorded before the callers are
+// answered, so that a later submission gets the same outcome.
 func (c *Coordinator) fail(now time.Time, job *job, reason specifier.Reason, detail string) {
 	c.Scheduler.Forget(job.spec.ID)
-	for _, agent := range job.holders() {
-		c.out = append(c.out, Withdraw{Agent: agent, Job: job.spec.ID, Epoch: job.epoch})
+	for _, agent := range job.assignedAgents() {
+		c.actions = append(c.actions, Withdraw{Agent: agent, Job: job.spec.ID, Epoch: job.epoch})
 	}
-	collecting := job.phase == collecting
+	wasCollecting := job.phase == collecting
 	job.phase = recording
-	job.recordBy = now.Add(recordBound)
-	c.wakeAt(job, job.recordBy)
+	job.recordBy = now.Add(recordTimeout)
+	c.setTimer(job, job.recordBy)
 	switch {
-	case job.doubtful:
+	case job.maybeAnswered:
 		job.answer = specifier.Fail(specifier.OwnerLost, "a former owner may have completed the job; the repeat failed: "+string(reason)+": "+detail, true)
-	case job.touched() || collecting:
+	case job.mayHaveRun() || wasCollecting:
 		job.answer = specifier.Fail(reason, detail, true)
 	case reason == specifier.Cancelled:
 		job.answer = specifier.Refuse(reason, detail)
 	default:
 		job.answer = specifier.Refuse(specifier.DeadlinePast, detail)
 	}
-	c.out = append(c.out, Propose{specifier.FinishJob{Job: job.spec.ID, Owner: job.owner, Epoch: job.epoch, Answer: job.answer}})
+	c.actions = append(c.actions, Propose{specifier.FinishJob{Job: job.spec.ID, Owner: job.owner, Epoch: job.epoch, Answer: job.answer}})
 }
 
 func (c *Coordinator) taskDone(now time.Time, e TaskDone) {
@@ -76,18 +76,18 @@
 	if !ok || job.slots[i].done {
 		return
 	}
-	c.note(recorder.TaskReturned, job, e.Key.Task, e.Agent.Name, e.Detail)
+	c.recordEvent(recorder.TaskReturned, job, e.Key.Task, e.Agent.Name, e.Detail)
 	if e.Broken {
-		job.slots[i].held = e.Agent
+		job.slots[i].agent = e.Agent
 		c.failTask(now, job, e.Key.Task, e.Agent, e.Detail)
 		return
 	}
-	job.finish(i, e.Body)
+	job.setResult(i, e.Body)
 	c.completeIfDone(now, job)
 }
 
 func (c *Coordinator) failTask(now time.Time, job *job, task string, agent specifier.Identity, detail string) {
-	if job.fetched {
+	if job.resultsOnly {
 		return
 	}
 	c.fail(now, job, specifier.TaskFailed, "task "+task+" at "+agent.Name+": "+detail)
@@ -100,11 +100,11 @@
 		return
 	}
 	i, ok := job.index[e.Key.Task]
-	if !ok || job.slots[i].held != e.Agent {
+	if !ok || job.slots[i].agent != e.Agent {
 		return
 	}
-	c.note(recorder.TaskReturned, job, e.Key.Task, e.Agent.Name, "refused: "+e.Cause)
-	job.slots[i].held = specifier.Identity{}
+	c.recordEvent(recorder.TaskReturned, job, e.Key.Task, e.Agent.Name, "refused: "+e.Cause)
+	job.slots[i].agent = specifier.Identity{}
 	if e.Cause == supersededCause {
 		c.superseded(now, job)
 		return
@@ -112,14 +112,14 @@
 	c.Scheduler.Refused(now, e.Agent, e.Key)
 }
 
-// supersededCause is the cause with which an agent refuses an epoch below the one it knows.
+// supersededCause is the cause that an agent gives when it refuses an epoch lower than one it has seen.
 const supersededCause = "Superseded"
 
-// superseded gives up a job that another entry has taken over, and waits for its answer.
+// superseded stops a job that another entry may have taken over, and proposes the job again to find its owner.
 func (c *Coordinator) superseded(now time.Time, job *job) {
 	c.Scheduler.Forget(job.spec.ID)
 	for i := range job.slots {
-		job.slots[i].held = specifier.Identity{}
+		job.slots[i].agent = specifier.Identity{}
 	}
 	c.retry(now, job)
 }
--- a/entry/coordinator/schedule_test.go
+++ b/entry/coordinator/schedule_test.go
@@ -12,7 +12,8 @@
 var schedules = flag.Int("schedules", 2000, "random schedules to run")
 
 // Guards against a task that starts twice, a false NotRun, a partial or second answer, and a caller
-// without an answer, whatever is lost, delayed, broken, killed or recorded as down, at any step.
+// without an answer when, at any step, messages are lost or delayed, streams break, and processes are killed or
+// recorded as Down.
 // A longer run: go test ./entry/coordinator -run TestPromisesHold -schedules 100000
 func TestPromisesHoldUnderFaults(t *testing.T) {
 	for seed := range uint64(*schedules) {
@@ -30,49 +31,49 @@
 		}
 	}()
 	random := rand.New(rand.NewPCG(seed, 17))
-	w := newWorld(t, 2+random.IntN(2), 2+random.IntN(2))
+	c := newCluster(t, 2+random.IntN(2), 2+random.IntN(2))
 	jobs := 1 + random.IntN(4)
 	tasks := 1 + random.IntN(4)
 	for range 60 + random.IntN(200) {
-		randomStep(w, random, jobs, tasks)
+		randomStep(c, random, jobs, tasks)
 	}
-	w.settle()
-	w.mustHold()
+	c.recoverAll()
+	c.mustKeepGuarantees()
 	ok = true
 	return true
 }
 
-// randomStep does one thing that can happen at any moment.
-func randomStep(w *world, random *rand.Rand, jobs, tasks int) {
-	e := w.entries[random.IntN(len(w.entries))]
-	a := w.agents[random.IntN(len(w.agents))]
-	l := w.link(e, a)
-	switch dice := random.IntN(100); {
-	case dice < 8:
+// randomStep performs one random step or fault.
+func randomStep(c *cluster, random *rand.Rand, jobs, tasks int) {
+	e := c.entries[random.IntN(len(c.entries))]
+	a := c.agents[random.IntN(len(c.agents))]
+	s := c.stream(e, a)
+	switch choice := random.IntN(100); {
+	case choice < 8:
 		if e.alive {
-			w.submit(e, newJob(random.IntN(jobs), tasks))
+			c.submit(e, newJob(random.IntN(jobs), tasks))
 		}
-	case dice < 10:
+	case choice < 10:
 		if e.alive {
-			w.cancel(e, newJob(random.IntN(jobs), 1).ID)
+			c.cancel(e, newJob(random.IntN(jobs), 1).ID)
 		}
-	case dice < 30:
-		w.decide(e, random.IntN(5) == 0)
-	case dice < 60:
+	case choice < 30:
+		c.decide(e, random.IntN(5) == 0)
+	case choice < 60:
 		if e.alive && a.alive {
-			w.deliver(l)
+			c.deliver(s)
 		}
-	case dice < 70:
+	case choice < 70:
 		if a.alive && len(a.running) > 0 {
-			w.endRun(a, random.IntN(len(a.running)), randomEnd(random))
+			c.endRun(a, random.IntN(len(a.running)), randomEnd(random))
 		}
-	case dice < 78:
-		w.tick(time.Duration(random.IntN(1000)) * time.Millisecond)
-	case dice < 84:
-		w.renew()
-		w.publish()
+	case choice < 78:
+		c.tick(time.Duration(random.IntN(1000)) * time.Millisecond)
+	case choice < 84:
+		c.renew()
+		c.publish()
 	default:
-		randomFault(w, random, e, a)
+		randomFault(c, random, e, a)
 	}
 }
 
@@ -86,69 +87,69 @@
 	return executor.RunEnded{}
 }
 
-func randomFault(w *world, random *rand.Rand, e *entryNode, a *agentNode) {
-	l := w.link(e, a)
+func randomFault(c *cluster, random *rand.Rand, e *entryNode, a *agentNode) {
+	s := c.stream(e, a)
 	switch random.IntN(10) {
 	case 0:
 		if e.alive {
-			w.kill(e)
+			c.killWithCallers(e)
 		}
 	case 1:
 		if !e.alive {
-			w.restart(e)
+			c.restart(e)
 		}
 	case 2:
 		if a.alive {
-			w.killAgent(a)
+			c.killAgent(a)
 		}
 	case 3:
-		w.restartAgent(a)
+		c.restartAgent(a)
 	case 4:
-		w.disconnect(l, random.IntN(4))
+		c.disconnect(s, random.IntN(4))
 	case 5, 6:
-		if e.alive && a.alive && !l.up {
-			w.connect(l)
+		if e.alive && a.alive && !s.open {
+			c.connect(s)
 		}
 	case 7:
-		e.cut = !e.cut
+		e.partitioned = !e.partitioned
 	case 8:
-		a.cut = !a.cut
+		a.partitioned = !a.partitioned
 	case 9:
-		w.expireLeases(e, a)
+		c.expireLeases(e, a)
 	}
 }
 
-func (w *world) kill(e *entryNode) {
-	for waiter := range w.asked {
-		if len(w.replies[waiter]) == 0 && w.askedAt[waiter] == e.process {
-			delete(w.asked, waiter) // its caller's connection is gone
+func (c *cluster) killWithCallers(e *entryNode) {
+	for waiter := range c.openRequests {
+		if len(c.replies[waiter]) == 0 && c.requestEntry[waiter] == e.process {
+			delete(c.openRequests, waiter) // the caller's connection broke with the entry
 		}
 	}
-	w.killEntry(e)
+	c.killEntry(e)
 }
 
-func (w *world) restart(e *entryNode) {
-	for i := range w.entries {
-		if w.entries[i] == e {
-			w.startEntry(i)
+func (c *cluster) restart(e *entryNode) {
+	for i := range c.entries {
+		if c.entries[i] == e {
+			c.startEntry(i)
 		}
 	}
 }
 
-func (w *world) restartAgent(a *agentNode) {
-	for i := range w.agents {
-		if w.agents[i] == a && !a.alive {
-			w.startAgent(i)
+func (c *cluster) restartAgent(a *agentNode) {
+	for i := range c.agents {
+		if c.agents[i] == a && !a.alive {
+			c.startAgent(i)
 		}
 	}
 }
 
-// expireLeases records what does not renew as down: processes that are dead or cut off.
-func (w *world) expireLeases(e *entryNode, a *agentNode) {
-	if !e.alive || e.cut {
-		w.end(e.id)
+// expireLeases records processes as Down that are dead or partitioned and so do not renew their leases.
+func (c *cluster) expireLeases(e *entryNode, a *agentNode) {
+	if !e.alive || e.partitioned {
+		c.recordDown(e.id)
 	}
-	if (!a.alive || a.cut) && !w.now.Before(a.until) {
-		w.end(a.id)
+	if (!a.alive || a.partitioned) && !c.now.Before(a.leaseUntil) {
+		c.recordDown(a.id)
 	}
 }
--- a/entry/coordinator/sharesgranted.go
+++ b/entry/coordinator/sharesgranted.go
@@ -6,7 +6,7 @@
 	"oleandertally/core/specifier"
 )
 
-// SharesGranted carries the slots that this entry may count on for each team until a time on its clock.
+// SharesGranted carries the slots that this entry may use for each team until a time on its clock.
 type SharesGranted struct {
 	Until  time.Time
 	Shares []specifier.ServiceShare
--- a/entry/coordinator/slot.go
+++ b/entry/coordinator/slot.go
@@ -5,7 +5,7 @@
 // slot is the state of one task of a job that this entry runs.
 type slot struct {
 	done   bool
-	held   specifier.Identity // the agent that was sent the task, until it is done or refused
-	mark   uint64             // position of the assignment among all assignments and fences
+	agent  specifier.Identity // agent to which the task was sent, until the task is done or refused
+	mark   uint64             // number of the assignment among all assignments and fences
 	result specifier.Result
 }
--- a/entry/coordinator/submission.go
+++ b/entry/coordinator/submission.go
@@ -11,22 +11,22 @@
 func (c *Coordinator) submitted(now time.Time, e Submitted) {
 	digest := specifier.NewDigest(e.Job)
 	if known := c.jobs[e.Job.ID]; known != nil {
-		c.note(recorder.JobSubmitted, known, "", "", fmt.Sprintf("%d tasks", len(e.Job.Tasks)))
+		c.recordEvent(recorder.JobSubmitted, known, "", "", fmt.Sprintf("%d tasks", len(e.Job.Tasks)))
 		c.attach(known, digest, waiting{waiter: e.Waiter, caller: true})
 		return
 	}
 	job := newJob(now, e.Job, digest)
 	job.waiters = []waiting{{waiter: e.Waiter, caller: true}}
-	c.note(recorder.JobSubmitted, job, "", "", fmt.Sprintf("%d tasks", len(e.Job.Tasks)))
-	c.makeRoom()
+	c.recordEvent(recorder.JobSubmitted, job, "", "", fmt.Sprintf("%d tasks", len(e.Job.Tasks)))
+	c.freeCapacity()
 	if len(c.jobs) >= c.MaxJobs {
-		c.give(now, job, specifier.Fail(specifier.Overloaded,
+		c.answerAll(now, job, specifier.Fail(specifier.Overloaded,
 			"this entry holds too many jobs to look the key up; an earlier submission under it may have run", true))
 		return
 	}
 	c.jobs[e.Job.ID] = job
-	c.wakeAt(job, e.Job.Deadline)
-	c.wakeAt(job, now.Add(decideBound))
+	c.setTimer(job, e.Job.Deadline)
+	c.setTimer(job, now.Add(decisionTimeout))
 	if refusal := c.check(now, job); refusal != nil {
 		c.refuse(job, *refusal)
 		return
@@ -34,14 +34,14 @@
 	c.propose(now, job)
 }
 
-// attach adds a waiter to a job that is known here.
+// attach adds a waiter to a job that this entry knows.
 func (c *Coordinator) attach(known *job, digest specifier.Digest, to waiting) {
 	if known.digest != digest {
 		refused := &job{spec: specifier.Job{ID: known.spec.ID}, answer: specifier.Refuse(specifier.KeyReused, "the key was used with another body")}
 		c.reply(refused, to)
 		return
 	}
-	c.note(recorder.JobAttached, known, "", "", "")
+	c.recordEvent(recorder.JobAttached, known, "", "", "")
 	if known.phase == answered {
 		c.reply(known, to)
 		return
@@ -49,7 +49,7 @@
 	known.waiters = append(known.waiters, to)
 }
 
-// check returns why the job can't run under the configuration in force, or nil. It sets the
+// check returns a refusal if the job can't run under the configuration in force, or nil. It sets the
 // job's profile.
 func (c *Coordinator) check(now time.Time, job *job) *specifier.Answer {
 	refuse := func(reason specifier.Reason, detail string) *specifier.Answer {
@@ -58,7 +58,7 @@
 	}
 	if c.draining {
 		answer := specifier.Refuse(specifier.Stopping, "this entry is shutting down")
-		// Until then every entry answers the key with this refusal.
+		// During this time every entry answers the key with this refusal.
 		answer.RetryAfter = specifier.RefusalHold
 		return &answer
 	}
@@ -84,12 +84,12 @@
 	return nil
 }
 
-// refuse records the refusal before it is answered: an earlier submission under the key may have
-// run through another entry, and then NotRun would be false.
+// refuse records the refusal before the caller is answered: an earlier submission under the key may have
+// run at another entry, and then NotRun would be false.
 func (c *Coordinator) refuse(job *job, refusal specifier.Answer) {
 	job.refusal = &refusal
 	job.phase = refusing
-	c.out = append(c.out, Propose{specifier.RefuseJob{Job: job.spec.ID, Digest: job.digest, Revision: c.configuration.Revision, Answer: refusal}})
+	c.actions = append(c.actions, Propose{specifier.RefuseJob{Job: job.spec.ID, Digest: job.digest, Revision: c.configuration.Revision, Answer: refusal}})
 }
 
 func (c *Coordinator) propose(now time.Time, job *job) {
@@ -103,23 +103,23 @@
 	left := job.spec.Deadline.Sub(now)
 	revision := c.configuration.Revision
 	if job.replaces != 0 {
-		c.note(recorder.JobProposed, job, "", "", "take over")
-		c.out = append(c.out, Propose{specifier.TakeOverJob{Job: job.spec.ID, Digest: job.digest, Owner: c.self,
+		c.recordEvent(recorder.JobProposed, job, "", "", "take over")
+		c.actions = append(c.actions, Propose{specifier.TakeOverJob{Job: job.spec.ID, Digest: job.digest, Owner: c.self,
 			Replaces: job.replaces, Revision: revision, TimeLeft: left}})
 		return
 	}
-	c.note(recorder.JobProposed, job, "", "", "")
-	c.out = append(c.out, Propose{specifier.AcceptJob{Job: job.spec.ID, Digest: job.digest, Owner: c.self,
+	c.recordEvent(recorder.JobProposed, job, "", "", "")
+	c.actions = append(c.actions, Propose{specifier.AcceptJob{Job: job.spec.ID, Digest: job.digest, Owner: c.self,
 		TaskCount: len(job.spec.Tasks), Revision: revision, TimeLeft: left}})
 }
 
 func (c *Coordinator) retry(now time.Time, job *job) {
-	wait := min(retryFirst<<min(job.attempts, 10), retryMost)
+	wait := min(minRetryInterval<<min(job.attempts, 10), maxRetryInterval)
 	job.attempts++
 	job.replaces = 0
 	job.phase = backingOff
-	job.silent = now
+	job.undecidedSince = now
 	job.retryAt = now.Add(wait/2 + time.Duration(c.Rand.Int64N(int64(wait))))
-	c.wakeAt(job, job.retryAt)
-	c.wakeAt(job, now.Add(decideBound))
+	c.setTimer(job, job.retryAt)
+	c.setTimer(job, now.Add(decisionTimeout))
 }
--- a/entry/coordinator/submitted.go
+++ b/entry/coordinator/submitted.go
@@ -2,7 +2,7 @@
 
 import "oleandertally/core/specifier"
 
-// Submitted is a caller's checked request.
+// Submitted is a caller's valid and authorized submission.
 type Submitted struct {
 	Waiter Waiter
 	Job    specifier.Job
--- a/entry/coordinator/taskrefused.go
+++ b/entry/coordinator/taskrefused.go
@@ -2,7 +2,7 @@
 
 import "oleandertally/core/specifier"
 
-// TaskRefused is an agent's message that a task did not start there and will not.
+// TaskRefused is an agent's message that it did not start a task and will not.
 type TaskRefused struct {
 	Agent specifier.Identity
 	Key   specifier.TaskKey
--- a/entry/coordinator/timer.go
+++ b/entry/coordinator/timer.go
@@ -6,7 +6,7 @@
 	"oleandertally/core/specifier"
 )
 
-// timer wakes a job. A timer that no longer matches the job's state does nothing.
+// timer is a time at which a job's deadlines are checked. A timer that no longer matches the job's state has no effect.
 type timer struct {
 	at  time.Time
 	job specifier.JobID
--- a/entry/coordinator/waiter.go
+++ b/entry/coordinator/waiter.go
@@ -1,5 +1,5 @@
 package coordinator
 
-// Waiter identifies one request that waits for an answer. Each gets exactly one Reply,
-// unless it is abandoned.
+// Waiter identifies one request that waits for an answer. Each request gets exactly one Reply,
+// unless it is abandoned first.
 type Waiter uint64
--- a/entry/coordinator/withdraw.go
+++ b/entry/coordinator/withdraw.go
@@ -2,7 +2,7 @@
 
 import "oleandertally/core/specifier"
 
-// Withdraw tells an agent to drop what it has not started of a job.
+// Withdraw tells an agent to drop the tasks of a job that it has not started.
 type Withdraw struct {
 	Agent specifier.Identity
 	Job   specifier.JobID
--- a/entry/coordinator/world_test.go
+++ b/entry/coordinator/world_test.go
@@ -20,67 +20,67 @@
 	lease = 3 * time.Second
 )
 
-// world joins a few coordinators, executors and one registrar by queues that a test delivers, loses and
-// delays, on a clock that the test holds.
-type world struct {
-	t       testing.TB
-	now     time.Time
-	index   uint64
-	state   *registrar.Registrar
-	entries []*entryNode
-	agents  []*agentNode
-	links   map[string]*linkPair
-	stuck   int    // ticks in a row that did not move the clock
-	last    uint64 // of links, waiters, incarnations
-	events  []recorder.Event
-	counts  map[string]uint64
-	replies map[coordinator.Waiter][]specifier.Answer
-	asked   map[coordinator.Waiter]bool // callers' requests at entries that still run
-	askedAt map[coordinator.Waiter]specifier.Identity
-	askedOf map[coordinator.Waiter]specifier.JobID
+// cluster connects several coordinators and executors and one registrar by queues. The test controls the clock and
+// decides which messages are delivered, lost or delayed.
+type cluster struct {
+	t            testing.TB
+	now          time.Time
+	index        uint64
+	state        *registrar.Registrar
+	entries      []*entryNode
+	agents       []*agentNode
+	streams      map[string]*agentStream
+	stalledTicks int    // consecutive ticks that did not advance the clock
+	lastID       uint64 // last number given to a stream, waiter or incarnation
+	events       []recorder.Event
+	sequences    map[string]uint64
+	replies      map[coordinator.Waiter][]specifier.Answer
+	openRequests map[coordinator.Waiter]bool // requests of callers, except those whose entry was killed before it answered
+	requestEntry map[coordinator.Waiter]specifier.Identity
+	requestJob   map[coordinator.Waiter]specifier.JobID
 }
 
-func newWorld(t testing.TB, entries, agents int) *world {
-	w := &world{t: t, now: time.Date(2026, 5, 4, 9, 0, 0, 0, time.UTC), state: registrar.New(1000), links: make(map[string]*linkPair),
-		counts: make(map[string]uint64), replies: make(map[coordinator.Waiter][]specifier.Answer), asked: make(map[coordinator.Waiter]bool), askedAt: make(map[coordinator.Waiter]specifier.Identity),
-		askedOf: make(map[coordinator.Waiter]specifier.JobID)}
-	w.apply(specifier.ChangeConfiguration{RequestID: "first", Operator: "test", Profiles: []specifier.Profile{
+func newCluster(t testing.TB, entries, agents int) *cluster {
+	c := &cluster{t: t, now: time.Date(2026, 5, 4, 9, 0, 0, 0, time.UTC), state: registrar.New(1000), streams: make(map[string]*agentStream),
+		sequences: make(map[string]uint64), replies: make(map[coordinator.Waiter][]specifier.Answer), openRequests: make(map[coordinator.Waiter]bool), requestEntry: make(map[coordinator.Waiter]specifier.Identity),
+		requestJob: make(map[coordinator.Waiter]specifier.JobID)}
+	c.apply(specifier.ChangeConfiguration{RequestID: "first", Operator: "test", Profiles: []specifier.Profile{
 		{Name: "hold", Service: "s"}, {Name: "quote", Service: "s", Repeatable: true}}})
 	for i := range entries {
-		w.entries = append(w.entries, &entryNode{})
-		w.startEntry(i)
+		c.entries = append(c.entries, &entryNode{})
+		c.startEntry(i)
 	}
 	for i := range agents {
-		w.agents = append(w.agents, &agentNode{})
-		w.startAgent(i)
+		c.agents = append(c.agents, &agentNode{})
+		c.startAgent(i)
 	}
-	w.linkAll()
-	w.publish()
-	return w
+	c.connectAll()
+	c.publish()
+	return c
 }
 
-func (w *world) next() uint64 { w.last++; return w.last }
+func (c *cluster) nextID() uint64 { c.lastID++; return c.lastID }
 
-func (w *world) apply(command specifier.Command) specifier.Decision {
-	w.index++
-	return w.state.Apply(w.index, specifier.Batch{Commands: []specifier.Command{command}})[0]
+func (c *cluster) apply(command specifier.Command) specifier.Decision {
+	c.index++
+	return c.state.Apply(c.index, specifier.Batch{Commands: []specifier.Command{command}})[0]
 }
 
-// mustHold checks every promise over the recorded events, and that each caller whose entry lives got one answer.
-func (w *world) mustHold() {
-	w.t.Helper()
-	repeatable := func(id specifier.JobID) bool { return w.isRepeatable(id) }
-	for _, violation := range verifier.Check(w.events, verifier.Facts{Repeatable: repeatable}) {
-		w.t.Fatalf("%s\n%s", violation, w.story(violation.Event.Job))
+// mustKeepGuarantees checks every guarantee against the recorded events, and that each open request got exactly one answer.
+func (c *cluster) mustKeepGuarantees() {
+	c.t.Helper()
+	repeatable := func(id specifier.JobID) bool { return c.isRepeatable(id) }
+	for _, violation := range verifier.Check(c.events, verifier.Facts{Repeatable: repeatable}) {
+		c.t.Fatalf("%s\n%s", violation, c.timeline(violation.Event.Job))
 	}
-	for _, waiter := range sorted(w.asked) {
-		if len(w.replies[waiter]) != 1 {
-			w.t.Fatalf("waiter %d at %s got %d answers\n%s", waiter, w.askedAt[waiter], len(w.replies[waiter]), w.story(w.askedOf[waiter]))
+	for _, waiter := range sortedKeys(c.openRequests) {
+		if len(c.replies[waiter]) != 1 {
+			c.t.Fatalf("waiter %d at %s got %d answers\n%s", waiter, c.requestEntry[waiter], len(c.replies[waiter]), c.timeline(c.requestJob[waiter]))
 		}
 	}
 }
 
-func (w *world) isRepeatable(id specifier.JobID) bool {
+func (c *cluster) isRepeatable(id specifier.JobID) bool {
 	for i := range 100 {
 		if job := newJob(i, 1); job.ID == id {
 			return job.Profile == "quote"
@@ -89,10 +89,10 @@
 	return false
 }
 
-// story lists the events of a job, for the report of a failure.
-func (w *world) story(id specifier.JobID) string {
+// timeline lists the events of a job for a failure message.
+func (c *cluster) timeline(id specifier.JobID) string {
 	text := ""
-	for _, event := range w.events {
+	for _, event := range c.events {
 		if event.Job == id || event.Kind == recorder.MemberDown {
 			text += fmt.Sprintf("%s %s #%d %s task=%s epoch=%d other=%s %s\n", event.At.Format("05.000"), event.Process, event.Sequence,
 				event.Kind, event.Task, event.Epoch, event.Other, event.Detail)
@@ -114,7 +114,7 @@
 	return job
 }
 
-func sorted[K ~uint64, V any](m map[K]V) []K {
+func sortedKeys[K ~uint64, V any](m map[K]V) []K {
 	var keys []K
 	for key := range m {
 		keys = append(keys, key)
@@ -130,9 +130,9 @@
 	return b
 }
 
-func mustOutcome(t *testing.T, w *world, waiter coordinator.Waiter, outcome specifier.Outcome, reason specifier.Reason) {
+func mustOutcome(t *testing.T, c *cluster, waiter coordinator.Waiter, outcome specifier.Outcome, reason specifier.Reason) {
 	t.Helper()
-	must.Len(t, 1, w.replies[waiter])
-	must.Eq(t, outcome, w.replies[waiter][0].Outcome)
-	must.Eq(t, reason, w.replies[waiter][0].Reason)
+	must.Len(t, 1, c.replies[waiter])
+	must.Eq(t, outcome, c.replies[waiter][0].Outcome)
+	must.Eq(t, reason, c.replies[waiter][0].Reason)
 }
--- a/entry/coordinator/worldfaults_test.go
+++ b/entry/coordinator/worldfaults_test.go
@@ -8,155 +8,155 @@
 	"oleandertally/entry/coordinator"
 )
 
-func (w *world) killEntry(e *entryNode) {
+func (c *cluster) killEntry(e *entryNode) {
 	e.alive = false
-	for _, a := range w.agents {
-		l := w.link(e, a)
-		w.disconnect(l, len(l.toAgent))
+	for _, a := range c.agents {
+		s := c.stream(e, a)
+		c.disconnect(s, len(s.toAgent))
 	}
-	for _, other := range w.entries {
-		for waiter, question := range other.asks {
+	for _, other := range c.entries {
+		for waiter, question := range other.questions {
 			if question.from == e {
-				delete(other.asks, waiter)
+				delete(other.questions, waiter)
 			}
 		}
 	}
-	w.breakAsks(e)
+	c.failQuestions(e)
 }
 
-// breakAsks ends the questions that wait at e.
-func (w *world) breakAsks(e *entryNode) {
-	asks := e.asks
-	e.asks = make(map[coordinator.Waiter]ask)
-	for _, waiter := range sorted(asks) {
-		if question := asks[waiter]; question.from.alive && question.from != e {
-			w.entry(question.from, coordinator.OwnerAnswered{Job: question.job, Owner: e.id, Unavailable: true})
+// failQuestions fails the questions of other entries that wait for an answer of e.
+func (c *cluster) failQuestions(e *entryNode) {
+	questions := e.questions
+	e.questions = make(map[coordinator.Waiter]ownerQuestion)
+	for _, waiter := range sortedKeys(questions) {
+		if question := questions[waiter]; question.from.alive && question.from != e {
+			c.stepEntry(question.from, coordinator.OwnerAnswered{Job: question.job, Owner: e.id, Unavailable: true})
 		}
 	}
 }
 
-func (w *world) killAgent(a *agentNode) {
+func (c *cluster) killAgent(a *agentNode) {
 	a.alive = false
-	for _, e := range w.entries {
-		w.disconnect(w.link(e, a), 0)
+	for _, e := range c.entries {
+		c.disconnect(c.stream(e, a), 0)
 	}
 }
 
-// end records a run as down, which the controllers do once its lease is over.
-func (w *world) end(id specifier.Identity) { w.apply(specifier.EndMember{Identity: id}) }
+// recordDown records an incarnation as Down, as the controllers do when its lease expires.
+func (c *cluster) recordDown(id specifier.Identity) { c.apply(specifier.EndMember{Identity: id}) }
 
-// tick moves the clock to the next deadline of any process, at most by step, and handles it.
-func (w *world) tick(step time.Duration) {
-	target := w.now.Add(step)
-	for _, e := range w.entries {
+// tick advances the clock to the next deadline of any process, by at most step, and expires what is due.
+func (c *cluster) tick(step time.Duration) {
+	target := c.now.Add(step)
+	for _, e := range c.entries {
 		if next := e.machine.Next(); e.alive && !next.IsZero() && next.Before(target) {
-			target = maxTime(next, w.now)
+			target = maxTime(next, c.now)
 		}
 	}
-	for _, a := range w.agents {
+	for _, a := range c.agents {
 		if next := a.machine.Next(); a.alive && !next.IsZero() && next.Before(target) {
-			target = maxTime(next, w.now)
+			target = maxTime(next, c.now)
 		}
 	}
-	if target.Equal(w.now) {
-		w.stuck++
-		if w.stuck > 2000 {
-			for _, e := range w.entries {
-				if next := e.machine.Next(); e.alive && !next.IsZero() && !next.After(w.now) {
-					w.t.Fatalf("%s is due at %v, now %v, and makes no progress: scheduler %v", e.id, next, w.now, e.machine.Scheduler.Next())
+	if target.Equal(c.now) {
+		c.stalledTicks++
+		if c.stalledTicks > 2000 {
+			for _, e := range c.entries {
+				if next := e.machine.Next(); e.alive && !next.IsZero() && !next.After(c.now) {
+					c.t.Fatalf("%s is due at %v, now %v, and makes no progress: scheduler %v", e.id, next, c.now, e.machine.Scheduler.Next())
 				}
 			}
-			for _, a := range w.agents {
-				if next := a.machine.Next(); a.alive && !next.IsZero() && !next.After(w.now) {
-					w.t.Fatalf("%s is due at %v, now %v, and makes no progress", a.id, next, w.now)
+			for _, a := range c.agents {
+				if next := a.machine.Next(); a.alive && !next.IsZero() && !next.After(c.now) {
+					c.t.Fatalf("%s is due at %v, now %v, and makes no progress", a.id, next, c.now)
 				}
 			}
 		}
 	} else {
-		w.stuck = 0
+		c.stalledTicks = 0
 	}
-	w.now = target
-	for _, e := range w.entries {
-		if next := e.machine.Next(); e.alive && !next.IsZero() && !next.After(w.now) {
-			w.perform(e, e.machine.Expire(w.now))
+	c.now = target
+	for _, e := range c.entries {
+		if next := e.machine.Next(); e.alive && !next.IsZero() && !next.After(c.now) {
+			c.perform(e, e.machine.Expire(c.now))
 		}
 	}
-	for _, a := range w.agents {
-		if next := a.machine.Next(); a.alive && !next.IsZero() && !next.After(w.now) {
-			w.performAgent(a, a.machine.Expire(w.now))
+	for _, a := range c.agents {
+		if next := a.machine.Next(); a.alive && !next.IsZero() && !next.After(c.now) {
+			c.performAgent(a, a.machine.Expire(c.now))
 		}
 	}
 }
 
-// settle repairs everything and runs until every deadline is over.
-func (w *world) settle() {
-	for i, e := range w.entries {
-		e.cut = false
+// recoverAll restarts and reconnects every process and runs the cluster until every job's deadline has passed.
+func (c *cluster) recoverAll() {
+	for i, e := range c.entries {
+		e.partitioned = false
 		if !e.alive {
-			w.end(e.id)
-			w.startEntry(i)
+			c.recordDown(e.id)
+			c.startEntry(i)
 		}
 	}
-	for i, a := range w.agents {
-		a.cut = false
+	for i, a := range c.agents {
+		a.partitioned = false
 		if !a.alive {
-			w.end(a.id)
-			w.startAgent(i)
+			c.recordDown(a.id)
+			c.startAgent(i)
 		}
 	}
-	for end := w.now.Add(9 * time.Second); w.now.Before(end); {
-		w.renew()
-		w.linkAll()
-		w.publish()
-		for _, e := range w.entries {
-			for len(e.pending) > 0 {
-				w.decide(e, false)
+	for end := c.now.Add(9 * time.Second); c.now.Before(end); {
+		c.renew()
+		c.connectAll()
+		c.publish()
+		for _, e := range c.entries {
+			for len(e.proposals) > 0 {
+				c.decide(e, false)
 			}
 		}
-		for _, l := range w.pairs() {
-			for len(l.toAgent)+len(l.toEntry)+len(l.oldAgent) > 0 {
-				w.deliver(l)
+		for _, s := range c.liveStreams() {
+			for len(s.toAgent)+len(s.toEntry)+len(s.earlierToAgent) > 0 {
+				c.deliver(s)
 			}
 		}
-		for _, a := range w.agents {
+		for _, a := range c.agents {
 			for len(a.running) > 0 {
-				w.endRun(a, 0, executor.RunEnded{})
+				c.endRun(a, 0, executor.RunEnded{})
 			}
 		}
-		w.tick(100 * time.Millisecond)
+		c.tick(100 * time.Millisecond)
 	}
 }
 
-// renew extends the lease of every connected agent; one that was recorded as down is a new run.
-func (w *world) renew() {
-	for _, a := range w.agents {
-		if !a.alive || a.cut {
+// renew extends the lease of every agent that reaches the controllers. An agent or entry that was recorded as Down gets a new incarnation.
+func (c *cluster) renew() {
+	for _, a := range c.agents {
+		if !a.alive || a.partitioned {
 			continue
 		}
-		if known, _ := w.state.Member(a.id.Name); known.Identity != a.id || known.State == specifier.Down {
-			for _, e := range w.entries {
-				w.disconnect(w.link(e, a), 0)
+		if known, _ := c.state.Member(a.id.Name); known.Identity != a.id || known.State == specifier.Down {
+			for _, e := range c.entries {
+				c.disconnect(c.stream(e, a), 0)
 			}
-			a.id.Incarnation = specifier.Incarnation(w.next())
-			w.attend(a)
+			a.id.Incarnation = specifier.Incarnation(c.nextID())
+			c.registerAgent(a)
 			continue
 		}
-		a.until = w.now.Add(lease)
-		w.agent(a, executor.Leased{Until: a.until})
+		a.leaseUntil = c.now.Add(lease)
+		c.stepAgent(a, executor.Leased{Until: a.leaseUntil})
 	}
-	for _, e := range w.entries {
-		if known, _ := w.state.Member(e.id.Name); e.alive && !e.cut && (known.Identity != e.id || known.State == specifier.Down) {
-			w.reincarnate(e)
+	for _, e := range c.entries {
+		if known, _ := c.state.Member(e.id.Name); e.alive && !e.partitioned && (known.Identity != e.id || known.State == specifier.Down) {
+			c.reincarnate(e)
 		}
 	}
 }
 
-// reincarnate gives an entry that was recorded as down a new identity; its jobs go on.
-func (w *world) reincarnate(e *entryNode) {
-	for _, a := range w.agents {
-		w.disconnect(w.link(e, a), 0)
+// reincarnate gives an entry that was recorded as Down a new identity. The process and its jobs continue.
+func (c *cluster) reincarnate(e *entryNode) {
+	for _, a := range c.agents {
+		c.disconnect(c.stream(e, a), 0)
 	}
-	w.breakAsks(e)
-	e.id.Incarnation = specifier.Incarnation(w.next())
-	w.join(e)
+	c.failQuestions(e)
+	e.id.Incarnation = specifier.Incarnation(c.nextID())
+	c.registerEntry(e)
 }
--- a/entry/coordinator/worldlinks_test.go
+++ b/entry/coordinator/worldlinks_test.go
@@ -6,90 +6,91 @@
 	"oleandertally/entry/coordinator"
 )
 
-func (w *world) link(e *entryNode, a *agentNode) *linkPair {
+func (c *cluster) stream(e *entryNode, a *agentNode) *agentStream {
 	key := e.id.String() + a.id.String()
-	if w.links[key] == nil {
-		w.links[key] = &linkPair{entry: e, agent: a}
+	if c.streams[key] == nil {
+		c.streams[key] = &agentStream{entry: e, agent: a}
 	}
-	return w.links[key]
+	return c.streams[key]
 }
 
-// pairs returns the links of running processes in one order.
-func (w *world) pairs() []*linkPair {
-	var pairs []*linkPair
-	for _, e := range w.entries {
-		for _, a := range w.agents {
+// liveStreams returns the streams between running processes in a fixed order.
+func (c *cluster) liveStreams() []*agentStream {
+	var streams []*agentStream
+	for _, e := range c.entries {
+		for _, a := range c.agents {
 			if e.alive && a.alive {
-				pairs = append(pairs, w.link(e, a))
+				streams = append(streams, c.stream(e, a))
 			}
 		}
 	}
-	return pairs
+	return streams
 }
 
-func (w *world) linkAll() {
-	for _, l := range w.pairs() {
-		if !l.up {
-			w.connect(l)
+func (c *cluster) connectAll() {
+	for _, s := range c.liveStreams() {
+		if !s.open {
+			c.connect(s)
 		}
 	}
 }
 
-// connect opens a stream, as the adapters do: the entry learns of it once the agent has.
-func (w *world) connect(l *linkPair) {
-	if known, ok := w.state.Member(l.agent.id.Name); !ok || known.Identity != l.agent.id || known.State == specifier.Down {
+// connect opens a stream. As with real streams, the agent learns of it before the entry does.
+func (c *cluster) connect(s *agentStream) {
+	if known, ok := c.state.Member(s.agent.id.Name); !ok || known.Identity != s.agent.id || known.State == specifier.Down {
 		return
 	}
-	l.up, l.number = true, w.next()
-	w.agent(l.agent, executor.Linked{Entry: l.entry.id, Link: l.number})
-	w.entry(l.entry, coordinator.MembersChanged{Version: w.state.MemberVersion(), Members: w.state.Members()})
-	w.entry(l.entry, coordinator.AgentConnected{Agent: l.agent.id})
+	s.open, s.number = true, c.nextID()
+	c.stepAgent(s.agent, executor.Linked{Entry: s.entry.id, Link: s.number})
+	c.stepEntry(s.entry, coordinator.MembersChanged{Version: c.state.MemberVersion(), Members: c.state.Members()})
+	c.stepEntry(s.entry, coordinator.AgentConnected{Agent: s.agent.id})
 }
 
-// disconnect loses what is on its way, but for messages that the agent has already received.
-func (w *world) disconnect(l *linkPair, received int) {
-	if !l.up {
+// disconnect loses the messages in transit, except the first received ones, which the agent still reads.
+func (c *cluster) disconnect(s *agentStream, received int) {
+	if !s.open {
 		return
 	}
-	l.up = false
-	l.oldAgent = append(l.oldAgent, l.toAgent[:min(received, len(l.toAgent))]...)
-	l.toAgent, l.toEntry = nil, nil
-	if l.entry.alive {
-		w.entry(l.entry, coordinator.AgentDisconnected{Agent: l.agent.id})
+	s.open = false
+	s.earlierToAgent = append(s.earlierToAgent, s.toAgent[:min(received, len(s.toAgent))]...)
+	s.toAgent, s.toEntry = nil, nil
+	if s.entry.alive {
+		c.stepEntry(s.entry, coordinator.AgentDisconnected{Agent: s.agent.id})
 	}
 }
 
-func (w *world) toAgent(e *entryNode, id specifier.Identity, event func(*linkPair) executor.Event) {
-	for _, a := range w.agents {
-		if l := w.link(e, a); a.id == id && l.up {
-			l.toAgent = append(l.toAgent, event(l))
+func (c *cluster) sendToAgent(e *entryNode, id specifier.Identity, event func(*agentStream) executor.Event) {
+	for _, a := range c.agents {
+		if s := c.stream(e, a); a.id == id && s.open {
+			s.toAgent = append(s.toAgent, event(s))
 		}
 	}
 }
 
-func (w *world) toEntry(a *agentNode, id specifier.Identity, event coordinator.Event) {
-	for _, e := range w.entries {
-		if l := w.link(e, a); e.id == id && l.up {
-			l.toEntry = append(l.toEntry, event)
+func (c *cluster) sendToEntry(a *agentNode, id specifier.Identity, event coordinator.Event) {
+	for _, e := range c.entries {
+		if s := c.stream(e, a); e.id == id && s.open {
+			s.toEntry = append(s.toEntry, event)
 		}
 	}
 }
 
-// deliver hands over the next message of a link in each direction.
-func (w *world) deliver(l *linkPair) {
-	if len(l.oldAgent) > 0 && l.agent.alive {
-		event := l.oldAgent[0]
-		l.oldAgent = l.oldAgent[1:]
-		w.agent(l.agent, event)
+// deliver delivers the next message of a stream in each direction, and one that the agent still reads from an earlier
+// stream.
+func (c *cluster) deliver(s *agentStream) {
+	if len(s.earlierToAgent) > 0 && s.agent.alive {
+		event := s.earlierToAgent[0]
+		s.earlierToAgent = s.earlierToAgent[1:]
+		c.stepAgent(s.agent, event)
 	}
-	if len(l.toAgent) > 0 && l.up {
-		event := l.toAgent[0]
-		l.toAgent = l.toAgent[1:]
-		w.agent(l.agent, event)
+	if len(s.toAgent) > 0 && s.open {
+		event := s.toAgent[0]
+		s.toAgent = s.toAgent[1:]
+		c.stepAgent(s.agent, event)
 	}
-	if len(l.toEntry) > 0 && l.up {
-		event := l.toEntry[0]
-		l.toEntry = l.toEntry[1:]
-		w.entry(l.entry, event)
+	if len(s.toEntry) > 0 && s.open {
+		event := s.toEntry[0]
+		s.toEntry = s.toEntry[1:]
+		c.stepEntry(s.entry, event)
 	}
 }
