--- a/entry/coordinator/capacity.go
+++ b/entry/coordinator/capacity.go
@@ -1,6 +1,6 @@
 package coordinator
 
-// markRecorded notes that an answered job is recorded, so that it may be forgotten.
+// markRecorded marks an answered job as recorded, so that it may be evicted.
 func (c *Coordinator) markRecorded(job *job) {
 	if job.recorded {
 		return
--- a/entry/coordinator/coordinator.go
+++ b/entry/coordinator/coordinator.go
@@ -18,7 +18,7 @@
 	recordTimeout = time.Second
 	// answerRetention is how long the entry keeps an answer. A job that is resubmitted later collects its results from the agents.
 	answerRetention = 30 * time.Second
-	// minRetryInterval and retryMost bound the wait before a job is proposed again.
+	// minRetryInterval and maxRetryInterval limit the wait before a job is proposed again.
 	minRetryInterval = 20 * time.Millisecond
 	maxRetryInterval = 400 * time.Millisecond
 )
@@ -155,17 +155,17 @@
 
 // dispatch sends the tasks for which agents have free slots.
 func (c *Coordinator) dispatch(now time.Time) {
-	for _, each := range c.Scheduler.Dispatch(now) {
-		job := c.jobs[each.Item.Key.Job]
+	for _, assigned := range c.Scheduler.Dispatch(now) {
+		job := c.jobs[assigned.Item.Key.Job]
 		if job == nil || job.phase != running {
 			continue
 		}
-		i := job.index[each.Item.Key.Task]
+		i := job.index[assigned.Item.Key.Task]
 		c.lastMark++
-		job.slots[i].agent, job.slots[i].mark = each.Agent, c.lastMark
-		c.recordEvent(recorder.TaskAssigned, job, each.Item.Key.Task, each.Agent.Name, "")
-		c.actions = append(c.actions, Assign{Agent: each.Agent, Key: each.Item.Key, Epoch: job.epoch, Payload: job.spec.Tasks[i].Payload,
-			Order: each.Item.Order.At, Deadline: job.spec.Deadline, Profile: job.spec.Profile})
+		job.slots[i].agent, job.slots[i].mark = assigned.Agent, c.lastMark
+		c.recordEvent(recorder.TaskAssigned, job, assigned.Item.Key.Task, assigned.Agent.Name, "")
+		c.actions = append(c.actions, Assign{Agent: assigned.Agent, Key: assigned.Item.Key, Epoch: job.epoch, Payload: job.spec.Tasks[i].Payload,
+			Order: assigned.Item.Order.At, Deadline: job.spec.Deadline, Profile: job.spec.Profile})
 	}
 }
 
--- a/entry/coordinator/job.go
+++ b/entry/coordinator/job.go
@@ -17,9 +17,9 @@
 	phase          phase
 	owner          specifier.Identity // this entry's identity in the proposal
 	epoch          specifier.Epoch
-	replaces       specifier.Epoch // epoch of the former owner in TakeOverJob; 0 for AcceptJob
-	minRevision    specifier.Revision
-	refusal        *specifier.Answer // the answer unless the controllers know the key
+	replaces       specifier.Epoch    // epoch of the former owner in TakeOverJob; 0 for AcceptJob
+	minRevision    specifier.Revision // configuration revision that a stale proposal waits for
+	refusal        *specifier.Answer  // the answer unless the controllers know the key
 	waiters        []waiting
 	cancelled      bool
 
@@ -70,14 +70,14 @@
 
 // assignedAgents returns the agents to which tasks of the job are assigned, sorted.
 func (j *job) assignedAgents() []specifier.Identity {
-	var holders []specifier.Identity
+	var agents []specifier.Identity
 	for _, slot := range j.slots {
-		if !slot.agent.IsZero() && !slices.Contains(holders, slot.agent) {
-			holders = append(holders, slot.agent)
+		if !slot.agent.IsZero() && !slices.Contains(agents, slot.agent) {
+			agents = append(agents, slot.agent)
 		}
 	}
-	slices.SortFunc(holders, specifier.Identity.Compare)
-	return holders
+	slices.SortFunc(agents, specifier.Identity.Compare)
+	return agents
 }
 
 // completeAnswer returns the Complete answer of a job whose slots are all done.
