--- a/entry/requester/action.go
+++ b/entry/requester/action.go
@@ -5,10 +5,10 @@
 	"oleandertally/core/looper"
 )
 
-// action is a message for the stream to the leading controller, or the outcome of a call.
+// action is a message to the leading controller, or, when replyTo is set, the outcome of a call.
 type action struct {
-	box      *looper.Outbox[*encoder.QueueCalls]
-	message  *encoder.QueueCalls
-	answered chan<- answer
-	answer   answer
+	outbox  *looper.Outbox[*encoder.QueueCalls]
+	message *encoder.QueueCalls
+	replyTo chan<- answer
+	answer  answer
 }
--- a/entry/requester/asked.go
+++ b/entry/requester/asked.go
@@ -6,9 +6,9 @@
 	"oleandertally/core/specifier"
 )
 
-// asked is a new call.
-type asked struct {
+// callStarted reports a new call.
+type callStarted struct {
 	call     specifier.QueueCall
 	deadline time.Time
-	answered chan<- answer
+	replyTo  chan<- answer
 }
--- a/entry/requester/doc.go
+++ b/entry/requester/doc.go
@@ -1,3 +1,3 @@
-// Package requester passes calls to the leading controller and their replies back. A call that is under way when
-// the leader changes is sent to the next one.
+// Package requester sends calls to the leading controller and returns the replies. A call in flight when the leader
+// changes is resent to the new leader.
 package requester
--- a/entry/requester/left.go
+++ b/entry/requester/left.go
@@ -1,4 +1,4 @@
 package requester
 
-// left tells that the caller of a call no longer waits.
-type left struct{ answered chan<- answer }
+// callAbandoned reports that the caller of a call no longer waits.
+type callAbandoned struct{ replyTo chan<- answer }
--- a/entry/requester/linked.go
+++ b/entry/requester/linked.go
@@ -5,7 +5,7 @@
 	"oleandertally/core/looper"
 )
 
-// linked tells that there is a stream to a leading controller.
-type linked struct {
-	box *looper.Outbox[*encoder.QueueCalls]
+// connected reports a new stream to the leading controller.
+type connected struct {
+	outbox *looper.Outbox[*encoder.QueueCalls]
 }
--- a/entry/requester/machine.go
+++ b/entry/requester/machine.go
@@ -11,56 +11,57 @@
 )
 
 const (
-	// againAfter is how long to wait before a call is repeated that a controller could not answer.
-	againAfter = 40 * time.Millisecond
-	// leaderWithin is how long a call waits for a leader. Most changes of the leader take less.
-	leaderWithin = 700 * time.Millisecond
-	// idealPart of its ideal run time, as a divisor, is what a job can wait for a leader that has been missing for longer.
-	idealPart = 4
-	// pingEvery keeps a stream from being silent, which counts as broken.
-	pingEvery = 100 * time.Millisecond
+	// retryDelay is the wait before a call that a controller could not handle is resent.
+	retryDelay = 40 * time.Millisecond
+	// leaderTimeout is how long a call waits for a leader. Most leader changes take less.
+	leaderTimeout = 700 * time.Millisecond
+	// idealDivisor divides a job's ideal run time into the time that a new job waits for a leader when there has been
+	// none for longer than leaderTimeout.
+	idealDivisor = 4
+	// pingInterval keeps traffic on the stream, since a silent stream counts as broken.
+	pingInterval = 100 * time.Millisecond
 )
 
 // machine is the control state of a requester.
 type machine struct {
-	last    uint64
-	calls   map[uint64]*pending
-	callers map[chan<- answer]*pending
-	box     *looper.Outbox[*encoder.QueueCalls] // nil without a stream
-	lostAt  time.Time                           // since when there is no stream; zero with one
-	pingAt  time.Time
-	actions []action
+	lastSequence   uint64
+	calls          map[uint64]*pending
+	byReply        map[chan<- answer]*pending
+	outbox         *looper.Outbox[*encoder.QueueCalls] // nil without a stream
+	disconnectedAt time.Time                           // when the stream ended, or the first call found none; zero with a stream
+	pingAt         time.Time
+	actions        []action
 }
 
 func newMachine() *machine {
-	return &machine{calls: make(map[uint64]*pending), callers: make(map[chan<- answer]*pending)}
+	return &machine{calls: make(map[uint64]*pending), byReply: make(map[chan<- answer]*pending)}
 }
 
 // Step handles one event.
 func (m *machine) Step(now time.Time, e event) []action {
 	m.actions = nil
 	switch e := e.(type) {
-	case asked:
-		if m.box == nil && m.lostAt.IsZero() {
-			m.lostAt = now // the first call of this process
+	case callStarted:
+		if m.outbox == nil && m.disconnectedAt.IsZero() {
+			m.disconnectedAt = now // no stream has been opened yet
 		}
-		m.last++
-		call := &pending{sequence: m.last, call: e.call, asked: now, deadline: e.deadline, answered: e.answered}
-		m.calls[m.last], m.callers[e.answered] = call, call
+		m.lastSequence++
+		call := &pending{sequence: m.lastSequence, call: e.call, startedAt: now, deadline: e.deadline, replyTo: e.replyTo}
+		m.calls[m.lastSequence], m.byReply[e.replyTo] = call, call
 		m.send(now, call)
-	case left:
-		m.leave(e.answered)
-	case linked:
-		m.box, m.pingAt, m.lostAt = e.box, now.Add(pingEvery), time.Time{}
+	case callAbandoned:
+		m.dropCall(e.replyTo)
+	case connected:
+		m.outbox, m.pingAt, m.disconnectedAt = e.outbox, now.Add(pingInterval), time.Time{}
 		for _, sequence := range slices.Sorted(maps.Keys(m.calls)) {
 			m.send(now, m.calls[sequence])
 		}
-	case unlinked:
-		m.box, m.pingAt, m.lostAt = nil, time.Time{}, now
+	case disconnected:
+		m.outbox, m.pingAt, m.disconnectedAt = nil, time.Time{}, now
 		for _, call := range m.calls {
-			call.lost, call.open = call.lost || call.open, false
+			call.maybeHandled, call.inFlight = call.maybeHandled || call.inFlight, false
 		}
-	case replied:
+	case repliesReceived:
 		for _, reply := range e.replies.GetItems() {
 			m.reply(now, reply)
 		}
@@ -72,20 +73,20 @@
 func (m *machine) Expire(now time.Time) []action {
 	m.actions = nil
 	if !m.pingAt.IsZero() && !m.pingAt.After(now) {
-		m.pingAt = now.Add(pingEvery)
+		m.pingAt = now.Add(pingInterval)
 		m.put(&encoder.QueueCalls{})
 	}
 	for _, sequence := range slices.Sorted(maps.Keys(m.calls)) {
 		call := m.calls[sequence]
 		switch {
-		case !m.until(call).After(now):
+		case !m.giveUpAt(call).After(now):
 			m.abandon(call)
 			err := ErrUnsent
 			if call.sent {
 				err = ErrUnanswered
 			}
-			m.end(call, answer{err: err})
-		case !call.again.IsZero() && !call.again.After(now):
+			m.finish(call, answer{err: err})
+		case !call.retryAt.IsZero() && !call.retryAt.After(now):
 			m.send(now, call)
 		}
 	}
@@ -96,7 +97,7 @@
 func (m *machine) Next() time.Time {
 	next := m.pingAt
 	for _, call := range m.calls {
-		for _, at := range []time.Time{m.until(call), call.again} {
+		for _, at := range []time.Time{m.giveUpAt(call), call.retryAt} {
 			if !at.IsZero() && (next.IsZero() || at.Before(next)) {
 				next = at
 			}
@@ -105,19 +106,19 @@
 	return next
 }
 
-// until returns when a call is given up. Without a leader for a while most calls could not end in time any more, and
-// their callers are better told at once.
-func (m *machine) until(call *pending) time.Time {
-	if m.lostAt.IsZero() {
+// giveUpAt returns when the requester gives up a call. After some time without a leader most calls could no longer end in
+// time, so they fail early rather than at their deadline.
+func (m *machine) giveUpAt(call *pending) time.Time {
+	if m.disconnectedAt.IsZero() {
 		return call.deadline
 	}
 	ideal := call.call.Job.Ideal()
-	giveUp := m.lostAt.Add(leaderWithin)
-	switch soon := call.asked.Add(ideal / idealPart); {
+	giveUp := m.disconnectedAt.Add(leaderTimeout)
+	switch soon := call.startedAt.Add(ideal / idealDivisor); {
 	case call.call.Verb != specifier.SubmitQueued:
-		giveUp = later(giveUp, call.asked.Add(leaderWithin))
-	case call.lost:
-		giveUp = giveUp.Add(ideal) // its tasks may be running
+		giveUp = later(giveUp, call.startedAt.Add(leaderTimeout))
+	case call.maybeHandled:
+		giveUp = giveUp.Add(ideal) // the job's tasks may be running
 	default:
 		giveUp = later(giveUp, soon)
 	}
@@ -135,19 +136,19 @@
 }
 
 func (m *machine) put(message *encoder.QueueCalls) {
-	if m.box != nil {
-		m.actions = append(m.actions, action{box: m.box, message: message})
+	if m.outbox != nil {
+		m.actions = append(m.actions, action{outbox: m.outbox, message: message})
 	}
 }
 
-// send passes a call on, with the time that its caller still waits.
+// send sends a call with the time that its caller still waits.
 func (m *machine) send(now time.Time, call *pending) {
-	call.again = time.Time{}
-	if m.box == nil {
+	call.retryAt = time.Time{}
+	if m.outbox == nil {
 		return
 	}
-	call.sent, call.open = true, true
-	call.call.TimeLeft, call.call.Age = call.deadline.Sub(now), now.Sub(call.asked)
+	call.sent, call.inFlight = true, true
+	call.call.TimeLeft, call.call.Age = call.deadline.Sub(now), now.Sub(call.startedAt)
 	m.put(&encoder.QueueCalls{Items: []*encoder.QueueCall{encoder.EncodeQueueCall(call.sequence, call.call)}})
 }
 
@@ -156,37 +157,37 @@
 	if call == nil {
 		return
 	}
-	call.open = false
+	call.inFlight = false
 	decoded := encoder.DecodeQueueReply(reply)
 	if decoded.Result == specifier.QueueUnavailable && call.call.Verb != specifier.GetManifest {
-		call.again = now.Add(againAfter)
+		call.retryAt = now.Add(retryDelay)
 		return
 	}
-	if decoded.Result == specifier.QueueRefused && call.lost {
-		// The controller that refuses does not know what an earlier one has started.
+	if decoded.Result == specifier.QueueRefused && call.maybeHandled {
+		// The refusing controller does not know whether an earlier one started the job.
 		decoded.Result = specifier.QueueExpired
 	}
-	m.end(call, answer{reply: decoded})
+	m.finish(call, answer{reply: decoded})
 }
 
-func (m *machine) end(call *pending, outcome answer) {
+func (m *machine) finish(call *pending, outcome answer) {
 	delete(m.calls, call.sequence)
-	delete(m.callers, call.answered)
-	m.actions = append(m.actions, action{answered: call.answered, answer: outcome})
+	delete(m.byReply, call.replyTo)
+	m.actions = append(m.actions, action{replyTo: call.replyTo, answer: outcome})
 }
 
-// leave forgets a call that nobody waits for.
-func (m *machine) leave(answered chan<- answer) {
-	call := m.callers[answered]
+// dropCall removes a call whose caller no longer waits.
+func (m *machine) dropCall(replyTo chan<- answer) {
+	call := m.byReply[replyTo]
 	if call == nil {
 		return
 	}
 	m.abandon(call)
 	delete(m.calls, call.sequence)
-	delete(m.callers, answered)
+	delete(m.byReply, replyTo)
 }
 
-// abandon tells the controller that a submission's caller is gone.
+// abandon notifies the controller that a submission's caller no longer waits.
 func (m *machine) abandon(call *pending) {
 	if call.sent && call.call.Verb == specifier.SubmitQueued {
 		m.put(&encoder.QueueCalls{Items: []*encoder.QueueCall{{Sequence: call.sequence, Verb: uint32(specifier.AbandonQueued)}}})
--- a/entry/requester/pending.go
+++ b/entry/requester/pending.go
@@ -8,13 +8,13 @@
 
 // pending is a call without a reply.
 type pending struct {
-	sequence uint64
-	call     specifier.QueueCall
-	asked    time.Time
-	deadline time.Time
-	answered chan<- answer
-	sent     bool      // to some controller, at some time
-	lost     bool      // a stream ended while a controller may have acted on it
-	open     bool      // sent on the present stream and not answered
-	again    time.Time // when to send it again after a controller could not tell; zero for never
+	sequence     uint64
+	call         specifier.QueueCall
+	startedAt    time.Time
+	deadline     time.Time
+	replyTo      chan<- answer
+	sent         bool      // to any controller, on any stream
+	maybeHandled bool      // a stream ended while the call was in flight, so a controller may have handled it
+	inFlight     bool      // sent on the current stream and not answered
+	retryAt      time.Time // when to resend the call after a controller could not handle it; zero if not scheduled
 }
--- a/entry/requester/replied.go
+++ b/entry/requester/replied.go
@@ -4,5 +4,5 @@
 	"oleandertally/core/encoder"
 )
 
-// replied is a message of the controller.
-type replied struct{ replies *encoder.QueueReplies }
+// repliesReceived carries a message of the controller.
+type repliesReceived struct{ replies *encoder.QueueReplies }
--- a/entry/requester/requester.go
+++ b/entry/requester/requester.go
@@ -16,89 +16,90 @@
 )
 
 const (
-	mailboxSize = 4096
-	silence     = 400 * time.Millisecond
+	mailboxSize    = 4096
+	silenceTimeout = 400 * time.Millisecond
 )
 
 // Requester calls the leading controller. Exported fields are set before Run.
 type Requester struct {
-	Seeds       []netip.AddrPort // controllers to ask first
+	Seeds       []netip.AddrPort // addresses at which the search for the leader begins
 	Credentials credentials.TransportCredentials
 	Clock       func() time.Time
-	// LeaderChanged is told when a leading controller is found or lost; it must not block.
+	// LeaderChanged is called when a leading controller is found or lost; it must not block.
 	LeaderChanged func(controller netip.AddrPort, cause error)
 
 	mailbox *looper.Mailbox[event]
-	seeker  *locator.Locator[*encoder.QueueReplies, *encoder.QueueCalls]
+	locator *locator.Locator[*encoder.QueueReplies, *encoder.QueueCalls]
 }
 
-// Open prepares the requester for calls, which wait until it runs.
+// Open prepares the requester for calls, which are queued until Run is called.
 func (r *Requester) Open() {
 	r.mailbox = looper.NewMailbox[event](mailboxSize)
-	r.seeker = &locator.Locator[*encoder.QueueReplies, *encoder.QueueCalls]{
-		Seeds: r.Seeds, Credentials: r.Credentials, Silence: silence,
+	r.locator = &locator.Locator[*encoder.QueueReplies, *encoder.QueueCalls]{
+		Seeds: r.Seeds, Credentials: r.Credentials, Silence: silenceTimeout,
 		Open: func(ctx context.Context, conn *grpc.ClientConn) (locator.Stream[*encoder.QueueReplies, *encoder.QueueCalls], error) {
 			return encoder.NewQueueKeeperClient(conn).Call(ctx)
 		},
 		Welcome: (*encoder.QueueReplies).GetWelcome,
 		Merge:   merge,
-		Linked: func(ctx context.Context, controller netip.AddrPort, box *looper.Outbox[*encoder.QueueCalls]) error {
+		Linked: func(ctx context.Context, controller netip.AddrPort, outbox *looper.Outbox[*encoder.QueueCalls]) error {
 			r.LeaderChanged(controller, nil)
-			return r.mailbox.Send(ctx, linked{box})
+			return r.mailbox.Send(ctx, connected{outbox})
 		},
 		Received: func(ctx context.Context, message *encoder.QueueReplies) error {
-			return r.mailbox.Send(ctx, replied{message})
+			return r.mailbox.Send(ctx, repliesReceived{message})
 		},
 		Unlinked: func(ctx context.Context, cause error) error {
 			r.LeaderChanged(netip.AddrPort{}, cause)
-			return r.mailbox.Send(ctx, unlinked{})
+			return r.mailbox.Send(ctx, disconnected{})
 		},
 	}
 }
 
-// Run passes calls on until ctx ends. Open comes first.
+// Run sends calls until ctx ends. Open must be called first.
 func (r *Requester) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	loop := &looper.Loop[event, action]{Machine: newMachine(), Mailbox: r.mailbox, Perform: perform, Clock: r.Clock}
 	group.Go(func() error { return loop.Run(ctx) })
-	group.Go(func() error { return r.seeker.Run(ctx) })
+	group.Go(func() error { return r.locator.Run(ctx) })
 	return group.Wait()
 }
 
-// SetSeeds replaces the controllers to ask first.
-func (r *Requester) SetSeeds(seeds []netip.AddrPort) { r.seeker.SetSeeds(seeds) }
+// SetSeeds replaces the addresses at which the search for the leader begins.
+func (r *Requester) SetSeeds(seeds []netip.AddrPort) { r.locator.SetSeeds(seeds) }
 
-// Known returns the leader, or the zero address while there is none, and the controllers that one of them told last.
+// Known returns the leader, or the zero address while there is none, and the list of controllers that one of them
+// reported last.
 func (r *Requester) Known() (leader netip.AddrPort, controllers []netip.AddrPort) {
-	return r.seeker.Known()
+	return r.locator.Known()
 }
 
 // Call returns the reply, ErrUnsent or ErrUnanswered at the deadline, or the context's error.
 func (r *Requester) Call(ctx context.Context, call specifier.QueueCall, deadline time.Time) (specifier.QueueReply, error) {
-	answered := make(chan answer, 1)
-	if err := r.mailbox.Send(ctx, asked{call: call, deadline: deadline, answered: answered}); err != nil {
+	replyTo := make(chan answer, 1)
+	if err := r.mailbox.Send(ctx, callStarted{call: call, deadline: deadline, replyTo: replyTo}); err != nil {
 		return specifier.QueueReply{}, err
 	}
 	select {
-	case got := <-answered:
+	case got := <-replyTo:
 		return got.reply, got.err
 	case <-ctx.Done():
-		// The call goes on in the control goroutine until it is told.
-		_ = r.mailbox.Send(context.WithoutCancel(ctx), left{answered})
+		// The control goroutine keeps the call until it receives this event.
+		_ = r.mailbox.Send(context.WithoutCancel(ctx), callAbandoned{replyTo})
 		return specifier.QueueReply{}, context.Cause(ctx)
 	}
 }
 
 // perform runs on the control goroutine and does not block.
 func perform(a action) {
-	if a.answered != nil {
-		a.answered <- a.answer
+	if a.replyTo != nil {
+		a.replyTo <- a.answer
 		return
 	}
-	a.box.Put(a.message)
+	a.outbox.Put(a.message)
 }
 
-// merge puts calls that wait into one message.
+// merge joins queued messages into one.
 func merge(list []*encoder.QueueCalls) []*encoder.QueueCalls {
 	for _, each := range list[1:] {
 		list[0].Items = append(list[0].Items, each.Items...)
--- a/entry/requester/unlinked.go
+++ b/entry/requester/unlinked.go
@@ -1,4 +1,4 @@
 package requester
 
-// unlinked tells that the stream ended.
-type unlinked struct{}
+// disconnected reports that the stream ended.
+type disconnected struct{}
