--- a/entry/connector/agents.go
+++ b/entry/connector/agents.go
@@ -14,7 +14,7 @@
 	"oleandertally/core/specifier"
 )
 
-// Agents keeps one stream to each agent that is a member. Exported fields are set before use.
+// Agents maintains one stream to each agent that is a member. Exported fields are set before use.
 type Agents struct {
 	Self  func() specifier.Identity
 	Pool  *dialer.Pool
@@ -24,16 +24,16 @@
 	Group *errgroup.Group // runs the streams
 	Ctx   context.Context // ends the streams
 
-	mutex sync.Mutex
-	links map[specifier.Identity]*link
+	mutex       sync.Mutex
+	connections map[specifier.Identity]*connection
 }
 
-// SetMembers opens streams to new agents and closes those to agents that are gone.
+// SetMembers opens streams to new agents and closes the streams to agents that have departed or are Down.
 func (a *Agents) SetMembers(members []specifier.Member) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	if a.links == nil {
-		a.links = make(map[specifier.Identity]*link)
+	if a.connections == nil {
+		a.connections = make(map[specifier.Identity]*connection)
 	}
 	wanted := make(map[specifier.Identity]bool)
 	for _, member := range members {
@@ -41,38 +41,38 @@
 			continue
 		}
 		wanted[member.Identity] = true
-		if a.links[member.Identity] == nil {
+		if a.connections[member.Identity] == nil {
 			a.open(member)
 		}
 	}
-	for id, link := range a.links {
+	for id, connection := range a.connections {
 		if !wanted[id] {
-			link.cancel()
-			delete(a.links, id)
+			connection.cancel()
+			delete(a.connections, id)
 		}
 	}
 }
 
 func (a *Agents) open(member specifier.Member) {
 	ctx, cancel := context.WithCancel(a.Ctx)
-	link := &link{agents: a, member: member, cancel: cancel}
-	a.links[member.Identity] = link
+	connection := &connection{agents: a, member: member, cancel: cancel}
+	a.connections[member.Identity] = connection
 	a.Group.Go(func() error {
-		link.run(ctx)
+		connection.run(ctx)
 		return nil
 	})
 }
 
-// Put queues a message for an agent. It is dropped while there is no stream: the coordinator
-// asks for what the agent holds once there is one.
+// Put queues a message for an agent. Without a stream the message is dropped: once a stream opens, the coordinator
+// asks the agent which tasks it has.
 func (a *Agents) Put(agent specifier.Identity, message *encoder.EntryMessage) {
 	a.mutex.Lock()
-	link := a.links[agent]
+	connection := a.connections[agent]
 	a.mutex.Unlock()
-	if link != nil {
-		link.put(message)
+	if connection != nil {
+		connection.put(message)
 	}
 }
 
-// box is the queue of a link's present stream.
-type box = looper.Outbox[*encoder.EntryMessage]
+// outbox is the send queue of a connection's current stream.
+type outbox = looper.Outbox[*encoder.EntryMessage]
--- a/entry/connector/asker.go
+++ b/entry/connector/asker.go
@@ -11,10 +11,10 @@
 	"oleandertally/entry/coordinator"
 )
 
-// askBound is how long one question to another entry may stay open; it is then asked again.
-const askBound = 30 * time.Second
+// askTimeout is how long one request to another entry may wait. The coordinator then proposes the job again and may ask again.
+const askTimeout = 30 * time.Second
 
-// Asker waits at other entries for the answers of jobs that they own. Fields are set before use.
+// Asker requests the answers of jobs from the entries that own them. Fields are set before use.
 type Asker struct {
 	Pool  *dialer.Pool
 	Sink  *Sink
@@ -22,7 +22,7 @@
 	Ctx   context.Context
 }
 
-// Ask asks in the background. The coordinator gets OwnerAnswered.
+// Ask requests the answer in the background and delivers OwnerAnswered to the coordinator.
 func (a *Asker) Ask(question coordinator.AskOwner) {
 	a.Group.Go(func() error {
 		answer := coordinator.OwnerAnswered{Job: question.Job, Owner: question.Owner, Unavailable: true}
@@ -41,7 +41,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(a.Ctx, askBound)
+	ctx, cancel := context.WithTimeout(a.Ctx, askTimeout)
 	defer cancel()
 	return encoder.NewPeerClient(conn).Await(ctx, &encoder.AwaitRequest{Job: question.Job[:], Digest: question.Digest[:],
 		Incarnation: uint64(question.Owner.Incarnation), Cancel: question.Cancel})
--- a/entry/connector/doc.go
+++ b/entry/connector/doc.go
@@ -1,3 +1,3 @@
-// Package connector carries the coordinator's actions to controllers, agents and other entries, and their
-// messages back as events.
+// Package connector sends the coordinator's actions to controllers, agents and other entries, and delivers their
+// messages to the coordinator as events.
 package connector
--- a/entry/connector/link.go
+++ b/entry/connector/link.go
@@ -14,41 +14,41 @@
 	"oleandertally/entry/coordinator"
 )
 
-// linkRedial is how long a link waits before it opens a broken stream again.
-const linkRedial = 100 * time.Millisecond
+// reconnectDelay is how long a connection waits before it reopens a broken stream.
+const reconnectDelay = 100 * time.Millisecond
 
-// link is the stream to one agent, opened again when it breaks.
-type link struct {
+// connection is the stream to one agent. A broken stream is reopened.
+type connection struct {
 	agents *Agents
 	member specifier.Member
 	cancel context.CancelFunc
 
-	mutex sync.Mutex
-	box   *box // of the present stream
+	mutex  sync.Mutex
+	outbox *outbox // of the current stream; nil without one
 }
 
-func (l *link) run(ctx context.Context) {
+func (c *connection) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if err := l.session(ctx); err != nil && ctx.Err() == nil {
-			l.agents.Log.Debug().Err(err).Str("Peer", l.member.Name).Msg("agent stream ended")
+		if err := c.session(ctx); err != nil && ctx.Err() == nil {
+			c.agents.Log.Debug().Err(err).Str("Peer", c.member.Name).Msg("agent stream ended")
 		}
-		looper.Pause(ctx, linkRedial)
+		looper.Pause(ctx, reconnectDelay)
 	}
 }
 
-func (l *link) put(message *encoder.EntryMessage) {
-	l.mutex.Lock()
-	box := l.box
-	l.mutex.Unlock()
-	if box != nil {
-		box.Put(message)
+func (c *connection) put(message *encoder.EntryMessage) {
+	c.mutex.Lock()
+	outbox := c.outbox
+	c.mutex.Unlock()
+	if outbox != nil {
+		outbox.Put(message)
 	}
 }
 
-// session runs one stream. Its receiving goroutine has ended before the next stream begins, so
-// a message of an old stream never follows one of a new stream.
-func (l *link) session(ctx context.Context) error {
-	conn, err := l.agents.Pool.Conn(l.member.Addr)
+// session runs one stream. Its receiving goroutine ends before the next stream opens, so a message of an
+// earlier stream is never delivered after one of a later stream.
+func (c *connection) session(ctx context.Context) error {
+	conn, err := c.agents.Pool.Conn(c.member.Addr)
 	if err != nil {
 		return err
 	}
@@ -56,43 +56,43 @@
 	defer cancel()
 	stream, err := encoder.NewWorkerClient(conn).Link(ctx)
 	if err != nil {
-		return errors.Wrap(err, "link: open the stream")
+		return errors.Wrap(err, "connector: open the agent stream")
 	}
-	self := l.agents.Self()
-	hello := &encoder.EntryMessage{Hello: encoder.EncodeIdentity(self), Target: uint64(l.member.Incarnation)}
+	self := c.agents.Self()
+	hello := &encoder.EntryMessage{Hello: encoder.EncodeIdentity(self), Target: uint64(c.member.Incarnation)}
 	if err := stream.Send(hello); err != nil {
-		return errors.Wrap(err, "link: greet")
+		return errors.Wrap(err, "connector: send the greeting to the agent")
 	}
 	first, err := stream.Recv()
 	if err != nil {
-		return errors.Wrap(err, "link: greeting")
+		return errors.Wrap(err, "connector: receive the first message of the agent")
 	}
-	box := looper.NewOutbox[*encoder.EntryMessage]()
-	l.setBox(box)
-	defer l.setBox(nil)
-	id := l.member.Identity
-	if err := deliver(ctx, l.agents.Sink, coordinator.AgentConnected{Agent: id}); err != nil {
+	outbox := looper.NewOutbox[*encoder.EntryMessage]()
+	c.setOutbox(outbox)
+	defer c.setOutbox(nil)
+	id := c.member.Identity
+	if err := deliver(ctx, c.agents.Sink, coordinator.AgentConnected{Agent: id}); err != nil {
 		return err
 	}
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return l.send(ctx, stream, box) })
-	group.Go(func() error { return l.receive(ctx, stream, first) })
+	group.Go(func() error { return c.send(ctx, stream, outbox) })
+	group.Go(func() error { return c.receive(ctx, stream, first) })
 	err = group.Wait()
-	// Sent even if this process is stopping, since the coordinator still counts on the link.
-	_ = deliver(l.agents.Ctx, l.agents.Sink, coordinator.AgentDisconnected{Agent: id})
+	// Delivered even after the connection was cancelled, since the coordinator still relies on the stream.
+	_ = deliver(c.agents.Ctx, c.agents.Sink, coordinator.AgentDisconnected{Agent: id})
 	return err
 }
 
-func (l *link) setBox(box *box) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.box = box
+func (c *connection) setOutbox(outbox *outbox) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.outbox = outbox
 }
 
-// send merges what waits into one message.
-func (l *link) send(ctx context.Context, stream encoder.Worker_LinkClient, box *box) error {
+// send merges queued messages and sends them.
+func (c *connection) send(ctx context.Context, stream encoder.Worker_LinkClient, outbox *outbox) error {
 	for {
-		messages, err := box.Take(ctx)
+		messages, err := outbox.Take(ctx)
 		if err != nil {
 			return err
 		}
@@ -100,23 +100,23 @@
 			var merged *encoder.EntryMessage
 			merged, messages = merge(messages)
 			if err := stream.Send(merged); err != nil {
-				return errors.Wrap(err, "link: send")
+				return errors.Wrap(err, "connector: send to the agent")
 			}
 		}
 	}
 }
 
-func (l *link) receive(ctx context.Context, stream encoder.Worker_LinkClient, first *encoder.AgentMessage) error {
+func (c *connection) receive(ctx context.Context, stream encoder.Worker_LinkClient, first *encoder.AgentMessage) error {
 	for message := first; ; {
-		events, err := decodeAgentMessage(l.member.Identity, message)
+		events, err := decodeAgentMessage(c.member.Identity, message)
 		if err != nil {
 			return err
 		}
-		if err := deliver(ctx, l.agents.Sink, events...); err != nil {
+		if err := deliver(ctx, c.agents.Sink, events...); err != nil {
 			return err
 		}
 		if message, err = stream.Recv(); err != nil {
-			return errors.Wrap(err, "link: receive")
+			return errors.Wrap(err, "connector: receive from the agent")
 		}
 	}
 }
--- a/entry/connector/messages.go
+++ b/entry/connector/messages.go
@@ -10,10 +10,10 @@
 	"oleandertally/entry/coordinator"
 )
 
-// mergeBytes bounds the payloads that are merged into one message.
-const mergeBytes = 1 << 20
+// maxMergedBytes is the maximum total size of payloads that are merged into one message.
+const maxMergedBytes = 1 << 20
 
-// EncodeAssign turns the order key into an age and the deadline into the time left at now.
+// EncodeAssign converts Order to an age and the deadline to the time left, both at now.
 func EncodeAssign(a coordinator.Assign, now time.Time) *encoder.EntryMessage {
 	return &encoder.EntryMessage{Assigns: []*encoder.Assign{{Job: a.Key.Job[:], Epoch: uint64(a.Epoch), Task: a.Key.Task,
 		Payload: a.Payload, Age: int64(now.Sub(a.Order)), TimeLeft: int64(a.Deadline.Sub(now)), Profile: a.Profile}}}
@@ -24,22 +24,22 @@
 	return &encoder.EntryMessage{Withdraws: []*encoder.Withdraw{{Job: w.Job[:], Epoch: uint64(w.Epoch)}}}
 }
 
-// EncodeFence turns the deadline into the time left at now.
+// EncodeFence converts the deadline to the time left at now.
 func EncodeFence(f coordinator.Fence, now time.Time) *encoder.EntryMessage {
 	return &encoder.EntryMessage{Fences: []*encoder.Fence{{Job: f.Job[:], Epoch: uint64(f.Epoch), TimeLeft: int64(f.Deadline.Sub(now)), Mark: f.Mark}}}
 }
 
-// EncodeRelease copies every field.
+// EncodeRelease tells an agent that this entry has released it.
 func EncodeRelease() *encoder.EntryMessage { return &encoder.EntryMessage{Released: true} }
 
-// merge joins leading messages of one kind, so that the order between kinds is kept: an agent
-// handles the assignments of a message before its withdrawals and fences.
+// merge joins leading messages as far as their order is preserved: an agent handles the assignments of a message
+// first, then its withdrawals, then its fences. It returns the merged message and the remaining messages.
 func merge(messages []*encoder.EntryMessage) (*encoder.EntryMessage, []*encoder.EntryMessage) {
 	merged := messages[0]
 	size := payloadBytes(merged)
 	for i, next := range messages[1:] {
 		size += payloadBytes(next)
-		if size > mergeBytes || merged.Released || (len(next.Assigns) > 0 && len(merged.Withdraws)+len(merged.Fences) > 0) ||
+		if size > maxMergedBytes || merged.Released || (len(next.Assigns) > 0 && len(merged.Withdraws)+len(merged.Fences) > 0) ||
 			(len(next.Withdraws) > 0 && len(merged.Fences) > 0) {
 			return merged, messages[i+1:]
 		}
@@ -59,7 +59,7 @@
 	return size
 }
 
-// decodeAgentMessage checks a message and turns it into events.
+// decodeAgentMessage validates a message and converts it to events.
 func decodeAgentMessage(agent specifier.Identity, m *encoder.AgentMessage) ([]coordinator.Event, error) {
 	var events []coordinator.Event
 	for _, done := range m.Dones {
@@ -68,7 +68,7 @@
 			return nil, err
 		}
 		if len(done.Body) > specifier.MaxResult {
-			return nil, errors.Newf("link: Done.Body has %d bytes, expected at most %d", len(done.Body), specifier.MaxResult)
+			return nil, errors.Newf("connector: Done.Body has %d bytes, expected at most %d", len(done.Body), specifier.MaxResult)
 		}
 		events = append(events, coordinator.TaskDone{Agent: agent, Key: key, Epoch: specifier.Epoch(done.Epoch), Broken: done.Failed,
 			Body: done.Body, Detail: done.Detail, RunTime: time.Duration(done.RunTime)})
@@ -103,7 +103,7 @@
 		return nil, err
 	}
 	if len(m.Tasks) > specifier.MaxTasks {
-		return nil, errors.Newf("link: Report.Tasks has %d items, expected at most %d", len(m.Tasks), specifier.MaxTasks)
+		return nil, errors.Newf("connector: Report.Tasks has %d items, expected at most %d", len(m.Tasks), specifier.MaxTasks)
 	}
 	report := coordinator.ReportReceived{Agent: agent, Job: key.Job, Epoch: specifier.Epoch(m.Epoch), Mark: m.Mark}
 	for _, task := range m.Tasks {
@@ -115,10 +115,10 @@
 func taskKey(job []byte, task string) (specifier.TaskKey, error) {
 	var key specifier.TaskKey
 	if len(job) != len(key.Job) {
-		return key, errors.Newf("link: Job has %d bytes, expected %d", len(job), len(key.Job))
+		return key, errors.Newf("connector: Job has %d bytes, expected %d", len(job), len(key.Job))
 	}
 	if task == "" || len(task) > specifier.MaxName {
-		return key, errors.Newf("link: Task has %d bytes, expected 1 to %d", len(task), specifier.MaxName)
+		return key, errors.Newf("connector: Task has %d bytes, expected 1 to %d", len(task), specifier.MaxName)
 	}
 	copy(key.Job[:], job)
 	key.Task = task
--- a/entry/connector/proposer.go
+++ b/entry/connector/proposer.go
@@ -21,29 +21,29 @@
 )
 
 const (
-	// redialBound is the most that the proposer waits between two controllers.
-	redialBound = 200 * time.Millisecond
-	// silenceBound is how long a controller may leave proposals undecided before another is
-	// tried. A partition can cut a leader off without breaking the connection.
-	silenceBound = 2 * time.Second
-	// proposalsPerMessage bounds one message to the controllers.
-	proposalsPerMessage = 1024
+	// maxReconnectDelay is the maximum wait before the proposer connects to the next controller.
+	maxReconnectDelay = 200 * time.Millisecond
+	// decisionTimeout is how long a controller may leave proposals undecided before the proposer tries
+	// another one. A partition can isolate a leader without breaking the connection.
+	decisionTimeout = 2 * time.Second
+	// maxProposalsPerMessage limits the size of one message to the controllers.
+	maxProposalsPerMessage = 1024
 )
 
-// Proposer sends commands to the leading controller and hands their decisions to the
-// coordinator. What is undecided when a stream breaks is sent again on the next one, in
-// order. Exported fields are set before Run.
+// Proposer sends commands to the leading controller and delivers the decisions to the
+// coordinator. Commands that are undecided when a stream breaks are resent in order on the next
+// stream. Exported fields are set before Run.
 type Proposer struct {
 	Controllers []netip.AddrPort
 	Pool        *dialer.Pool
 	Sink        *Sink
 	Log         zerolog.Logger
 
-	mutex   sync.Mutex
-	last    uint64
-	pending map[uint64]specifier.Command
-	fresh   []uint64 // not sent on the present stream
-	ready   chan struct{}
+	mutex        sync.Mutex
+	lastSequence uint64
+	pending      map[uint64]specifier.Command
+	unsent       []uint64 // sequence numbers not yet sent on the current stream
+	ready        chan struct{}
 }
 
 // NewProposer returns a proposer whose fields are still to be set.
@@ -54,9 +54,9 @@
 // Propose queues a command. It does not block.
 func (p *Proposer) Propose(command specifier.Command) {
 	p.mutex.Lock()
-	p.last++
-	p.pending[p.last] = command
-	p.fresh = append(p.fresh, p.last)
+	p.lastSequence++
+	p.pending[p.lastSequence] = command
+	p.unsent = append(p.unsent, p.lastSequence)
 	p.mutex.Unlock()
 	p.wake()
 }
@@ -68,7 +68,7 @@
 	}
 }
 
-// Run sends until ctx ends.
+// Run sends commands until ctx ends.
 func (p *Proposer) Run(ctx context.Context) error {
 	if len(p.Controllers) == 0 {
 		return errors.New("proposer: Controllers: is empty, expected at least one address")
@@ -85,7 +85,7 @@
 		if err != nil && ctx.Err() == nil {
 			p.Log.Info().Str("Event", "ProposalStreamEnded").Err(err).Stringer("Next", addr).Msg("proposals go to another controller")
 		}
-		looper.Pause(ctx, time.Duration(rand.Int64N(int64(redialBound))))
+		looper.Pause(ctx, time.Duration(rand.Int64N(int64(maxReconnectDelay))))
 	}
 	return context.Cause(ctx)
 }
@@ -105,7 +105,7 @@
 	answers := make(chan struct{}, 1)
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error {
-		defer cancel() // the stream does not end with the group, and receive would wait for a silent controller
+		defer cancel() // cancels the stream, on which receive would otherwise wait for a controller that does not respond
 		return p.send(ctx, stream, answers)
 	})
 	group.Go(func() error {
@@ -117,31 +117,31 @@
 	return leader, err
 }
 
-// resend marks everything undecided as not sent, oldest first.
+// resend marks all undecided commands as unsent, oldest first.
 func (p *Proposer) resend() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.fresh = slices.Sorted(maps.Keys(p.pending))
+	p.unsent = slices.Sorted(maps.Keys(p.pending))
 	p.wake()
 }
 
-// send waits for commands and watches that the controller answers.
+// send sends queued commands. It fails if the controller makes no decisions while commands are pending.
 func (p *Proposer) send(ctx context.Context, stream encoder.Registry_ProposeClient, answers <-chan struct{}) error {
-	timer := time.NewTimer(silenceBound)
+	timer := time.NewTimer(decisionTimeout)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return context.Cause(ctx)
 		case <-answers:
-			timer.Reset(silenceBound)
+			timer.Reset(decisionTimeout)
 		case <-timer.C:
-			if p.waits() {
+			if p.hasPending() {
 				return errors.New("proposer: the controller leaves proposals undecided")
 			}
-			timer.Reset(silenceBound)
+			timer.Reset(decisionTimeout)
 		case <-p.ready:
-			for batch := p.take(); batch != nil; batch = p.take() {
+			for batch := p.nextBatch(); batch != nil; batch = p.nextBatch() {
 				if err := stream.Send(batch); err != nil {
 					return errors.Wrap(err, "proposer: send")
 				}
@@ -150,27 +150,27 @@
 	}
 }
 
-func (p *Proposer) waits() bool {
+func (p *Proposer) hasPending() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return len(p.pending) > 0
 }
 
-// take returns the next message, or nil.
-func (p *Proposer) take() *encoder.Proposals {
+// nextBatch returns the next message of unsent commands, or nil if there are none.
+func (p *Proposer) nextBatch() *encoder.Proposals {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if len(p.fresh) == 0 {
+	if len(p.unsent) == 0 {
 		return nil
 	}
-	size := min(len(p.fresh), proposalsPerMessage)
+	size := min(len(p.unsent), maxProposalsPerMessage)
 	batch := &encoder.Proposals{}
-	for _, sequence := range p.fresh[:size] {
+	for _, sequence := range p.unsent[:size] {
 		if command, ok := p.pending[sequence]; ok {
 			batch.Items = append(batch.Items, &encoder.Proposal{Sequence: sequence, Command: encoder.EncodeCommand(command)})
 		}
 	}
-	p.fresh = slices.Delete(p.fresh, 0, size)
+	p.unsent = slices.Delete(p.unsent, 0, size)
 	return batch
 }
 
@@ -189,7 +189,7 @@
 			if decision.Verdict == specifier.NotLeader {
 				return decision.Leader, errors.New("proposer: the controller does not lead")
 			}
-			command, ok := p.settle(item.Sequence)
+			command, ok := p.removePending(item.Sequence)
 			if !ok {
 				continue
 			}
@@ -204,8 +204,8 @@
 	}
 }
 
-// settle removes a command that is decided.
-func (p *Proposer) settle(sequence uint64) (specifier.Command, bool) {
+// removePending removes a decided command and returns it.
+func (p *Proposer) removePending(sequence uint64) (specifier.Command, bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	command, ok := p.pending[sequence]
--- a/entry/connector/proposer_test.go
+++ b/entry/connector/proposer_test.go
@@ -20,10 +20,10 @@
 	"oleandertally/entry/coordinator"
 )
 
-// testBound ends a test whose decision never comes.
-const testBound = 30 * time.Second
+// testTimeout ends a test that gets no decision.
+const testTimeout = 30 * time.Second
 
-// registry is a controller that decides every proposal, or none.
+// registry is a fake controller that decides every proposal, or none if silent.
 type registry struct {
 	encoder.UnimplementedRegistryServer
 
@@ -50,7 +50,7 @@
 	}
 }
 
-// serve runs a controller and returns its address.
+// serve runs a fake controller and returns its address.
 func serve(t *testing.T, group *errgroup.Group, r *registry) netip.AddrPort {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -62,8 +62,8 @@
 	return listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// Guards against an entry that waits for good for a controller that leaves its proposals undecided: the stream stays open, and
-// the entry must leave it.
+// Guards against an entry that waits forever for a controller that leaves proposals undecided: the stream stays open,
+// and the entry must switch to another controller by itself.
 func TestSilentController(t *testing.T) {
 	var servers errgroup.Group
 	controllers := []netip.AddrPort{serve(t, &servers, &registry{silent: true}), serve(t, &servers, &registry{})}
@@ -71,7 +71,7 @@
 	t.Cleanup(func() { pool.Close() })
 	p := NewProposer()
 	p.Controllers, p.Pool, p.Sink, p.Log = controllers, pool, looper.NewMailbox[coordinator.Event](16), zerolog.Nop()
-	ctx, cancel := context.WithTimeout(t.Context(), testBound)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	var group errgroup.Group
 	group.Go(func() error { return p.Run(ctx) })
