--- a/entry/responder/doc.go
+++ b/entry/responder/doc.go
@@ -1,3 +1,3 @@
-// Package responder answers callers over HTTP and other entries over gRPC. It checks and decodes
-// requests, gives them to the coordinator, and waits for its replies.
+// Package responder serves callers over HTTP and other entries over gRPC. It authorizes, validates and decodes
+// requests, passes them to the coordinator, and waits for the replies.
 package responder
--- a/entry/responder/gate.go
+++ b/entry/responder/gate.go
@@ -1,22 +1,22 @@
 package responder
 
-// Gate bounds how many requests are open at once. Use NewGate.
+// Gate limits the number of concurrent requests. Use NewGate.
 type Gate struct {
-	places chan struct{}
+	slots chan struct{}
 }
 
-// NewGate returns a gate with room for size requests.
-func NewGate(size int) *Gate { return &Gate{places: make(chan struct{}, size)} }
+// NewGate returns a gate that admits up to size concurrent requests.
+func NewGate(size int) *Gate { return &Gate{slots: make(chan struct{}, size)} }
 
-// Enter reports whether there was room, without waiting for it.
+// Enter takes a slot if one is free and reports whether it did. It does not wait.
 func (g *Gate) Enter() bool {
 	select {
-	case g.places <- struct{}{}:
+	case g.slots <- struct{}{}:
 		return true
 	default:
 		return false
 	}
 }
 
-// Leave gives back the place of one Enter.
-func (g *Gate) Leave() { <-g.places }
+// Leave returns the slot of one successful Enter.
+func (g *Gate) Leave() { <-g.slots }
--- a/entry/responder/handler.go
+++ b/entry/responder/handler.go
@@ -14,37 +14,37 @@
 	"oleandertally/entry/coordinator"
 )
 
-// cancelBound is how long a cancellation waits for its answer.
-const cancelBound = 5 * time.Second
+// cancelTimeout is how long a cancellation waits for an answer.
+const cancelTimeout = 5 * time.Second
 
 // Handler serves callers. Fields are set before use.
 type Handler struct {
 	Sink    *looper.Mailbox[coordinator.Event]
 	Waiters *Waiters
 	Clock   func() time.Time
-	// Admit returns an error for a stranger, by the headers alone.
+	// Admit returns an error if the headers of the request carry no token of any team.
 	Admit func(request *http.Request) error
 	// Authorize returns an error unless the request may act for team.
 	Authorize   func(request *http.Request, team string) error
-	MaxBody     int64                         // of a submission, in bytes
-	BodyTimeout time.Duration                 // for a caller to send a whole request
-	Requests    *Gate                         // bounds the requests that are open at once
-	Refused     func(answer specifier.Answer) // told of each submission that the coordinator never saw
+	MaxBody     int64                         // maximum size of a submission in bytes
+	BodyTimeout time.Duration                 // how long a caller may take to send the body
+	Requests    *Gate                         // limits concurrent requests
+	Refused     func(answer specifier.Answer) // called for each request that is refused before the coordinator sees it
 }
 
 // Routes returns the handler of the resource /v1/jobs.
 func (h *Handler) Routes() http.Handler {
 	routes := http.NewServeMux()
-	routes.HandleFunc("POST /v1/jobs", h.bounded(h.submit))
-	routes.HandleFunc("DELETE /v1/jobs/{key}", h.bounded(h.cancel))
+	routes.HandleFunc("POST /v1/jobs", h.admitted(h.submit))
+	routes.HandleFunc("DELETE /v1/jobs/{key}", h.admitted(h.cancel))
 	return routes
 }
 
-// bounded checks what can be checked before the body is read.
-func (h *Handler) bounded(next http.HandlerFunc) http.HandlerFunc {
+// admitted wraps a handler with the checks that come before the body is read: the token and the number of open requests.
+func (h *Handler) admitted(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if err := h.Admit(r); err != nil {
-			// The body is not read, so the connection can't be used again.
+			// The body is not read, so the connection can't be reused.
 			w.Header().Set("Connection", "close")
 			h.refuse(w, specifier.Refuse(specifier.Unauthorized, "the request carries no token of any team"))
 			return
@@ -65,11 +65,11 @@
 	write(w, answer)
 }
 
-// read decodes the body within BodyTimeout. The time for reading is not limited after that, or the
-// connection would break while the job runs.
+// read reads and decodes the body within BodyTimeout. It then removes the read deadline, which would otherwise break
+// the connection while the job runs.
 func (h *Handler) read(w http.ResponseWriter, r *http.Request) (specifier.Job, *specifier.Problems) {
 	control := http.NewResponseController(w)
-	// A connection that can't be limited, as in a test without a network, sends its body at once.
+	// A connection without read deadlines, as in a test without a network, has the whole body at once.
 	_ = control.SetReadDeadline(h.Clock().Add(h.BodyTimeout))
 	job, problems := decodeSubmission(http.MaxBytesReader(w, r.Body, h.MaxBody), r.Header.Get("Idempotency-Key"), h.Clock())
 	_ = control.SetReadDeadline(time.Time{})
@@ -95,7 +95,7 @@
 	h.wait(w, r.Context(), waiter, job.ID, reply)
 }
 
-// cancel is idempotent. Its answer is the job's: NotRun when it had not started.
+// cancel cancels a job and is idempotent. It answers with the job's own answer, which is NotRun if the job had not started.
 func (h *Handler) cancel(w http.ResponseWriter, r *http.Request) {
 	key, team := r.PathValue("key"), r.URL.Query().Get("Team")
 	problems := &specifier.Problems{}
@@ -109,7 +109,7 @@
 		write(w, specifier.Refuse(specifier.Unauthorized, "the token does not belong to the team"))
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), cancelBound)
+	ctx, cancel := context.WithTimeout(r.Context(), cancelTimeout)
 	defer cancel()
 	waiter, reply := h.Waiters.Open()
 	defer h.Waiters.Close(waiter)
@@ -143,6 +143,6 @@
 	w.WriteHeader(statusOf(answer))
 	encoder := json.NewEncoder(w)
 	encoder.SetEscapeHTML(false)
-	// The caller is gone when this fails, and resubmits under its key.
+	// If this fails, the connection broke, and the caller resubmits under the same key.
 	_ = encoder.Encode(newResponse(answer))
 }
--- a/entry/responder/handler_test.go
+++ b/entry/responder/handler_test.go
@@ -16,7 +16,7 @@
 	"oleandertally/entry/coordinator"
 )
 
-// counted is a body that counts what is read of it.
+// counted is a body that counts the bytes read from it.
 type counted struct {
 	io.Reader
 	bytes int
@@ -36,8 +36,8 @@
 		Authorize: func(*http.Request, string) error { return nil }, Refused: func(specifier.Answer) {}}
 }
 
-// mustRefuse checks the answer to a submission that must not reach the coordinator, that it is counted,
-// and how much of the body was read.
+// mustRefuse checks the answer to a submission that must not reach the coordinator, that the refusal is counted, and
+// how many bytes of the body were read.
 func mustRefuse(t *testing.T, h *Handler, body string, status int, reason specifier.Reason, read int) {
 	t.Helper()
 	var counts []specifier.Reason
@@ -53,10 +53,10 @@
 	must.Eq(t, read, reader.bytes)
 }
 
-// Guards against a stranger, a crowd or a long body that makes the entry hold memory, and a limit of the
-// settings that has no effect.
+// Guards against unauthorized callers, too many requests or a long body filling the entry's memory, and against a
+// limit in the settings that has no effect.
 func TestRefusalsBeforeTheCoordinator(t *testing.T) {
-	t.Run("stranger", func(t *testing.T) {
+	t.Run("no token", func(t *testing.T) {
 		h := newHandler()
 		h.Admit = func(*http.Request) error { return errors.New("no token") }
 		mustRefuse(t, h, submission, http.StatusUnauthorized, specifier.Unauthorized, 0)
--- a/entry/responder/response.go
+++ b/entry/responder/response.go
@@ -40,8 +40,8 @@
 	return TaskResult{Id: result.Task, Base64: result.Body}
 }
 
-// statusOf returns the HTTP status of an answer. The body decides; the status is for
-// balancers and logs.
+// statusOf returns the HTTP status of an answer. The body is authoritative; the status is for
+// load balancers and logs.
 func statusOf(answer specifier.Answer) int {
 	switch answer.Reason {
 	case "":
--- a/entry/responder/submission.go
+++ b/entry/responder/submission.go
@@ -18,7 +18,7 @@
 	Tasks    []SubmittedTask
 }
 
-// decodeSubmission reads and checks a whole body. It returns every problem together.
+// decodeSubmission reads and validates a whole body. It returns all problems of a well-formed body together.
 func decodeSubmission(body io.Reader, key string, now time.Time) (specifier.Job, *specifier.Problems) {
 	problems := &specifier.Problems{}
 	var submission Submission
@@ -42,11 +42,11 @@
 		return specifier.Job{}, problems
 	}
 	job := specifier.Job{ID: specifier.NewJobID(submission.Team, key), Team: submission.Team, Key: key, Profile: submission.Profile}
-	left, err := time.ParseDuration(submission.TimeLeft)
-	if err != nil || left <= 0 || left > specifier.MaxTimeLeft {
+	timeLeft, err := time.ParseDuration(submission.TimeLeft)
+	if err != nil || timeLeft <= 0 || timeLeft > specifier.MaxTimeLeft {
 		problems.Add("TimeLeft", "is %.40q, expected a duration of more than 0 and at most %v such as \"1500ms\"", submission.TimeLeft, specifier.MaxTimeLeft)
 	}
-	job.Deadline = now.Add(left)
+	job.Deadline = now.Add(timeLeft)
 	for _, task := range submission.Tasks {
 		job.Tasks = append(job.Tasks, specifier.Task{ID: task.Id, Payload: compact(task.Payload)})
 	}
@@ -54,16 +54,16 @@
 	return job, problems.OrNil()
 }
 
-// repeatedName returns a name that an object of the body, outside of payloads, gives more than once. The decoder would take the last
-// value without a word, and another reader of the same body the first.
+// repeatedName returns a name that occurs more than once in one object of the body, payloads excepted. The decoder
+// would silently use the last value, while another reader of the same body might use the first.
 func repeatedName(content []byte) (string, bool) {
 	decoder := json.NewDecoder(bytes.NewReader(content))
-	var objects []map[string]bool // names of each open object; nil for an array
+	var objects []map[string]bool // the names in each open object; nil for an array
 	key := false
 	for {
 		token, err := decoder.Token()
 		if err != nil {
-			return "", false // the decoding proper says what is wrong
+			return "", false // the actual decoding reports the problem
 		}
 		open := len(objects) - 1
 		switch value := token.(type) {
@@ -102,7 +102,7 @@
 	}
 }
 
-// compact removes insignificant space, so that a repeat that a library formats otherwise has
+// compact removes insignificant white space, so that a resubmission that a library formats differently has
 // the same digest.
 func compact(payload json.RawMessage) []byte {
 	var out bytes.Buffer
--- a/entry/responder/submission_test.go
+++ b/entry/responder/submission_test.go
@@ -8,7 +8,7 @@
 	"oleandertally/core/specifier"
 )
 
-// Guards against a body that is taken although a reader could understand it in two ways, or that has no time left.
+// Guards against accepting a body that is ambiguous because of repeated names, or that has no time left.
 func TestBodiesThatAreInvalid(t *testing.T) {
 	for name, body := range map[string]string{
 		"negative TimeLeft":            strings.Replace(submission, `"1s"`, `"-1s"`, 1),
@@ -24,7 +24,7 @@
 	}
 }
 
-// Guards against names of the caller's own payload that are taken for names of the body.
+// Guards against treating names inside the caller's payload as names of the body.
 func TestPayloadsMayRepeatNames(t *testing.T) {
 	body := strings.Replace(submission, `"Payload":1`, `"Payload":{"a":1,"a":2,"Team":"x"}`, 1)
 	if name, found := repeatedName([]byte(body)); found {
--- a/entry/responder/taskresult.go
+++ b/entry/responder/taskresult.go
@@ -2,9 +2,9 @@
 
 import "encoding/json"
 
-// TaskResult is what one task returned.
+// TaskResult is the result of one task.
 type TaskResult struct {
 	Id     string
 	Result json.RawMessage `json:",omitempty"` // the upstream's JSON, or its text as a JSON string
-	Base64 []byte          `json:",omitempty"` // instead of Result when the upstream's bytes are not text
+	Base64 []byte          `json:",omitempty"` // replaces Result when the upstream's response is not valid UTF-8
 }
--- a/entry/responder/waiters.go
+++ b/entry/responder/waiters.go
@@ -6,34 +6,34 @@
 	"oleandertally/entry/coordinator"
 )
 
-// Waiters maps the coordinator's waiters to the goroutines that wait.
+// Waiters maps the coordinator's waiters to the channels on which goroutines wait for replies.
 type Waiters struct {
-	mutex sync.Mutex
-	last  coordinator.Waiter
-	open  map[coordinator.Waiter]chan coordinator.Reply
+	mutex      sync.Mutex
+	lastWaiter coordinator.Waiter
+	open       map[coordinator.Waiter]chan coordinator.Reply
 }
 
-// Open returns a new waiter and where its reply comes.
+// Open returns a new waiter and the channel that receives its reply.
 func (w *Waiters) Open() (coordinator.Waiter, <-chan coordinator.Reply) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.open == nil {
 		w.open = make(map[coordinator.Waiter]chan coordinator.Reply)
 	}
-	w.last++
+	w.lastWaiter++
 	reply := make(chan coordinator.Reply, 1)
-	w.open[w.last] = reply
-	return w.last, reply
+	w.open[w.lastWaiter] = reply
+	return w.lastWaiter, reply
 }
 
-// Close forgets a waiter.
+// Close removes a waiter.
 func (w *Waiters) Close(waiter coordinator.Waiter) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	delete(w.open, waiter)
 }
 
-// Deliver hands a reply to its waiter, if it still waits. It does not block.
+// Deliver sends a reply to its waiter, unless the waiter was closed. It does not block.
 func (w *Waiters) Deliver(reply coordinator.Reply) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -43,7 +43,7 @@
 	}
 }
 
-// Len returns how many requests wait.
+// Len returns the number of requests that wait for a reply.
 func (w *Waiters) Len() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
