--- a/entry/main.go
+++ b/entry/main.go
@@ -3,8 +3,8 @@
 //	entry -settings FILE              settings of this entry
 //	entry -settings FILE -name NAME   settings of a deployment that lists it
 //
-// It exits with 0 after a shutdown that cut nothing off, 1 after the failure of a part, 2 when it could not
-// start, and 3 when the shutdown was cut off.
+// The exit status is 0 after a complete shutdown, 1 after the failure of a part, 2 when the entry could not
+// start, and 3 when the shutdown was cut short.
 package main
 
 import (
@@ -27,12 +27,12 @@
 )
 
 const (
-	// eventsKept is some seconds of the time line at the peak, in about 16 MB.
-	eventsKept = 1 << 16
-	// maxNotice is longer than a balancer that probes each second needs for three misses.
+	// maxEvents is enough for several seconds of the time line at peak load, in about 16 MB.
+	maxEvents = 1 << 16
+	// maxNotice exceeds the time of three failed probes by a load balancer that probes every second.
 	maxNotice = 5 * time.Second
-	// faultEvery bounds how often an equal fault is logged.
-	faultEvery = time.Minute
+	// faultLogInterval is the minimum time between log lines of the same fault.
+	faultLogInterval = time.Minute
 )
 
 func main() {
@@ -45,7 +45,7 @@
 	os.Exit(launcher.Exit(err))
 }
 
-// run returns after a shutdown. The log goes to out.
+// run runs an entry until its shutdown has ended. The log goes to out.
 func run(ctx context.Context, arguments []string, signals <-chan os.Signal, out io.Writer) error {
 	parsed, err := launcher.ParseArguments("entry", arguments, out)
 	if err != nil {
@@ -59,7 +59,7 @@
 	if err != nil {
 		return errors.Mark(err, launcher.ErrSettings)
 	}
-	faults := supervisor.NewFaultLog(log, faultEvery, time.Now)
+	faults := supervisor.NewFaultLog(log, faultLogInterval, time.Now)
 	security, err := authenticator.New(settings.Security, authenticator.Peer{Role: specifier.Entry, Name: settings.Name}, time.Now,
 		func(err error) { faults.Report(supervisor.Fields{Event: "CertificateNotReloaded"}, err) })
 	if err != nil {
@@ -67,7 +67,7 @@
 	}
 	metrics, health := exporter.NewEntry(), supervisor.NewHealth(runner.Conditions()...)
 	entry := &runner.Entry{Settings: settings, Security: security, Metrics: metrics, Health: health, Log: log,
-		Events: &recorder.Buffer{Cap: eventsKept, Clock: time.Now}, Notice: min(maxNotice, settings.StopWithin/4)}
+		Events: &recorder.Buffer{Cap: maxEvents, Clock: time.Now}, Notice: min(maxNotice, settings.StopWithin/4)}
 	launched := &launcher.Launcher{Process: settings.ProcessSettings, Program: entry, Health: health, Metrics: metrics.Handler(),
 		Log: log, Signals: signals}
 	return launched.Run(ctx)
--- a/entry/runner/call.go
+++ b/entry/runner/call.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// call is one caller's request that waits for its answer.
-type call struct {
+// callerRequest is one caller's request that waits for its answer.
+type callerRequest struct {
 	arrival  time.Time
 	deadline time.Time
 }
--- a/entry/runner/doc.go
+++ b/entry/runner/doc.go
@@ -1,3 +1,3 @@
-// Package runner runs an entry: the control loop around coordinator, HTTP for callers, gRPC for other
-// entries, and the streams to controllers and agents.
+// Package runner runs an entry process: the control loop around the coordinator, an HTTP server for callers, a gRPC
+// server for other entries and operators, and the streams to controllers and agents.
 package runner
--- a/entry/runner/entry.go
+++ b/entry/runner/entry.go
@@ -32,19 +32,19 @@
 	"oleandertally/entry/responder"
 )
 
-// mailboxSize is the number of events that may wait for the control goroutine.
+// mailboxSize is the maximum number of events queued for the control goroutine.
 const mailboxSize = 8192
 
-// The conditions of an entry that is ready.
+// The readiness conditions of an entry.
 const (
-	conditionLease    = "Lease"    // the controllers count the entry as a member
+	conditionLease    = "Lease"    // the entry has a valid lease from the controllers
 	conditionProfiles = "Profiles" // a configuration is in force
 )
 
-// Conditions are those under which an entry is ready for callers.
+// Conditions returns the conditions that an entry must meet to be ready for callers.
 func Conditions() []string { return []string{conditionLease, conditionProfiles} }
 
-// guard says who may call an entry.
+// guard lists the roles that may call each method of an entry.
 var guard = authenticator.Guard{
 	encoder.Peer_Await_FullMethodName:      {specifier.Entry},
 	encoder.Timeline_Gather_FullMethodName: {authenticator.Operator},
@@ -54,31 +54,31 @@
 type Entry struct {
 	Settings configurator.EntrySettings
 	Security *authenticator.Authenticator
-	Events   *recorder.Buffer // its Process is set to the identity of the run
+	Events   *recorder.Buffer // Open sets its process to the entry's identity
 	Metrics  *exporter.Entry
 	Health   *supervisor.Health
 	Log      zerolog.Logger
-	Stats    stats.Handler // of all connections that the entry opens, beside its own counts; default none
-	// Notice is how long callers are still answered NotRun after a shutdown began, so that the balancer
-	// has time to see that the entry is not ready.
+	Stats    stats.Handler // optional; observes all connections that the entry opens, in addition to its own metrics
+	// Notice is how long the entry still answers callers with NotRun after a shutdown begins, so that the load
+	// balancer has time to see that the entry is not ready.
 	Notice time.Duration
 
-	self     atomic.Pointer[specifier.Identity]
-	needs    atomic.Pointer[[]specifier.ServiceShare]
-	mailbox  *looper.Mailbox[coordinator.Event]
-	drained  chan struct{}
-	waiters  *responder.Waiters
-	proposer *connector.Proposer
-	agents   *connector.Agents
-	asker    *connector.Asker
-	lease    *registrant.Lease
-	pools    pools
-	web      *http.Server
-	server   *grpc.Server
-	callers  net.Listener
-	peers    net.Listener
-	leave    chan struct{} // closed to end the attendance
-	attended chan struct{} // closed when it has ended
+	self         atomic.Pointer[specifier.Identity]
+	needs        atomic.Pointer[[]specifier.ServiceShare]
+	mailbox      *looper.Mailbox[coordinator.Event]
+	drained      chan struct{}
+	waiters      *responder.Waiters
+	proposer     *connector.Proposer
+	agents       *connector.Agents
+	asker        *connector.Asker
+	lease        *registrant.Lease
+	pools        pools
+	web          *http.Server
+	server       *grpc.Server
+	callers      net.Listener
+	peers        net.Listener
+	leave        chan struct{} // closed to end the session at the controllers
+	sessionEnded chan struct{} // closed when the session has ended
 }
 
 // Check returns an error that names the first field that is missing.
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// Open opens both listeners before anything is announced.
+// Open opens both listeners, before the entry registers at the controllers.
 func (e *Entry) Open() error {
 	if err := e.Check(); err != nil {
 		return err
@@ -102,7 +102,7 @@
 	e.Events.SetProcess(identity.String())
 	e.mailbox = looper.NewMailbox[coordinator.Event](mailboxSize)
 	e.drained = make(chan struct{}, 1)
-	e.leave, e.attended = make(chan struct{}), make(chan struct{})
+	e.leave, e.sessionEnded = make(chan struct{}), make(chan struct{})
 	e.waiters = &responder.Waiters{}
 	e.lease = registrant.NewLease()
 	e.pools = newPools(e.Security, int(e.Settings.MaxMessage), &exporter.Bytes{Member: e.Metrics.Member}, e.Stats)
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// serve prepares both servers.
+// serve sets up both servers.
 func (e *Entry) serve() {
 	limits := e.Settings.Limits
 	handler := &responder.Handler{Sink: e.mailbox, Waiters: e.waiters, Clock: time.Now, Admit: e.Security.CheckAnyTeam,
@@ -135,8 +135,8 @@
 	encoder.RegisterTimelineServer(e.server, &operator.Timeline{Buffer: e.Events})
 }
 
-// Run serves until ctx ends, which cuts off what is in flight; Steps end an entry without that. It calls
-// Open unless that was done.
+// Run serves until ctx ends. The end of ctx breaks off requests in flight; Steps are the graceful shutdown. Run calls
+// Open if it was not called before.
 func (e *Entry) Run(ctx context.Context) error {
 	if e.mailbox == nil {
 		if err := e.Open(); err != nil {
@@ -154,11 +154,11 @@
 	group.Go(func() error { return e.lease.Run(ctx) })
 	group.Go(func() error { return supervisor.Serve(e.web, e.callers)(ctx) })
 	group.Go(func() error { return dialer.Serve(e.server, e.peers)(ctx) })
-	e.attend(group, ctx)
+	e.register(group, ctx)
 	return group.Wait()
 }
 
-// connect prepares the streams to controllers, agents and other entries.
+// connect sets up the connections to controllers, agents and other entries.
 func (e *Entry) connect(group *errgroup.Group, ctx context.Context) {
 	e.proposer = connector.NewProposer()
 	e.proposer.Controllers, e.proposer.Pool, e.proposer.Sink, e.proposer.Log = e.Settings.Controllers, e.pools.controllers, e.mailbox, e.Log
@@ -172,28 +172,28 @@
 	e.lease.Lapsed = func() { e.Health.Miss(conditionLease, "no controller has renewed it in time") }
 }
 
-// attend attends at the controllers until the entry leaves.
-func (e *Entry) attend(group *errgroup.Group, ctx context.Context) {
-	attendance := registrant.New()
-	attendance.Member = specifier.Member{Identity: e.Self(), Role: specifier.Entry, Addr: e.Settings.PeerAddr,
+// register registers the entry at the controllers and renews its lease until the entry leaves.
+func (e *Entry) register(group *errgroup.Group, ctx context.Context) {
+	session := registrant.New()
+	session.Member = specifier.Member{Identity: e.Self(), Role: specifier.Entry, Addr: e.Settings.PeerAddr,
 		Zone: e.Settings.Zone, Rack: e.Settings.Rack}
-	attendance.Needs = func() []specifier.ServiceShare {
+	session.Needs = func() []specifier.ServiceShare {
 		if needs := e.needs.Load(); needs != nil {
 			return *needs
 		}
 		return nil
 	}
-	attendance.Controllers, attendance.Pool, attendance.Log, attendance.Notify = e.Settings.Controllers, e.pools.controllers, e.Log, e.notify
+	session.Controllers, session.Pool, session.Log, session.Notify = e.Settings.Controllers, e.pools.controllers, e.Log, e.notify
 	group.Go(func() error {
-		defer close(e.attended)
-		return attendance.RunUntil(ctx, e.leave)
+		defer close(e.sessionEnded)
+		return session.RunUntil(ctx, e.leave)
 	})
 }
 
-// Self returns the entry's present identity.
+// Self returns the entry's current identity.
 func (e *Entry) Self() specifier.Identity { return *e.self.Load() }
 
-// notify turns what the controllers say into events.
+// notify converts a notice of the controllers to events for the coordinator.
 func (e *Entry) notify(ctx context.Context, notice registrant.Notice) error {
 	var events []coordinator.Event
 	if !notice.Until.IsZero() {
@@ -216,7 +216,7 @@
 		}
 	}
 	if notice.Members != nil {
-		// After MembersChanged is queued: AgentLinked must find the agent known.
+		// Called after MembersChanged is queued, since the coordinator must know the agent before it gets AgentConnected.
 		e.agents.SetMembers(notice.Members)
 	}
 	return nil
@@ -242,7 +242,7 @@
 	case coordinator.Drained:
 		select {
 		case e.drained <- struct{}{}:
-		default: // asked twice
+		default: // an earlier Drained has not been read
 		}
 	case coordinator.RequestShares:
 		e.needs.Store(&action.Needs)
--- a/entry/runner/entry_test.go
+++ b/entry/runner/entry_test.go
@@ -18,10 +18,10 @@
 	"oleandertally/core/supervisor"
 )
 
-// TestMain guards against goroutines that are left after an entry has ended.
+// TestMain guards against goroutines that outlive an entry.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// newEntry returns an entry on a random loopback address whose controllers do not answer.
+// newEntry returns an entry on a random loopback address. No controller listens at its Controllers address.
 func newEntry(t *testing.T) *Entry {
 	t.Helper()
 	host := netip.AddrFrom4([4]byte{127, byte(64 + rand.IntN(128)), byte(rand.IntN(250)), 1})
@@ -35,7 +35,7 @@
 		Metrics: exporter.NewEntry(), Health: supervisor.NewHealth(Conditions()...)}
 }
 
-// Guards against a shutdown that hangs or leaves goroutines when no controller answers.
+// Guards against a shutdown that hangs or leaks goroutines when no controller responds.
 func TestStopWithoutControllers(t *testing.T) {
 	entry := newEntry(t)
 	must.NoError(t, entry.Open())
@@ -48,13 +48,13 @@
 	must.NoError(t, steps[0].Run(ctx))
 	must.NoError(t, steps[1].Run(ctx))
 	leaving, interrupt := context.WithCancel(ctx)
-	group.Go(func() error { defer interrupt(); <-entry.attended; return nil })
+	group.Go(func() error { defer interrupt(); <-entry.sessionEnded; return nil })
 	must.ErrorIs(t, steps[2].Run(leaving), context.Canceled)
 	cancel()
 	must.ErrorIs(t, group.Wait(), context.Canceled)
 }
 
-// Guards against an entry that takes an address although another one is in use.
+// Guards against a failed Open that keeps one listener open because the other address is in use.
 func TestOpenReleasesListeners(t *testing.T) {
 	first, second := newEntry(t), newEntry(t)
 	second.Settings.PeerAddr = first.Settings.PeerAddr
--- a/entry/runner/issuer_test.go
+++ b/entry/runner/issuer_test.go
@@ -19,7 +19,7 @@
 	"oleandertally/core/configurator"
 )
 
-// issuer issues certificates of a site.
+// issuer is a certificate authority for tests.
 type issuer struct {
 	key  *ecdsa.PrivateKey
 	root *x509.Certificate
@@ -44,7 +44,7 @@
 	return der
 }
 
-// security returns the authenticator of a peer with a new certificate.
+// security returns the authenticator of a peer, with a new certificate of the issuer.
 func (i *issuer) security(t *testing.T, peer authenticator.Peer, teams ...configurator.TokenSettings) *authenticator.Authenticator {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
--- a/entry/runner/measured.go
+++ b/entry/runner/measured.go
@@ -6,16 +6,16 @@
 	"oleandertally/core/exporter"
 )
 
-// measured is what a meter remembers of a job that is not answered.
-type measured struct {
+// measuredJob is the state that a meter keeps for a job until the job is answered.
+type measuredJob struct {
 	profile  string
 	deadline time.Time
 	tasks    int
-	class    exporter.Class // when it was accepted
-	proposed time.Time      // zero once decided
+	class    exporter.Class // class at the time of acceptance
+	proposed time.Time      // when the job was proposed; zero once decided
 	accepted time.Time
-	waiting  int                  // tasks at this entry
-	sent     map[string]time.Time // when each task was last sent or returned
+	waiting  int                  // number of tasks that wait at this entry
+	sent     map[string]time.Time // when each task was last sent, or refused by an agent
 	longest  time.Duration
-	total    time.Duration // run time of all tasks
+	total    time.Duration // sum of the run times of all tasks
 }
--- a/entry/runner/meter.go
+++ b/entry/runner/meter.go
@@ -10,18 +10,19 @@
 	"oleandertally/entry/coordinator"
 )
 
-// sweepAt is how many measured jobs make the meter look for those that ended without a trace: their
-// callers had gone before the controllers decided.
-const sweepAt = 1024
+// minSweepSize is the least number of measured jobs at which the meter removes jobs past their deadline. A job never gets
+// a reply if its callers disconnected before the controllers decided.
+const minSweepSize = 1024
 
-// meter counts what passes through the coordinator. It runs on the control goroutine and does not block.
+// meter wraps the coordinator and derives metrics from its events and actions. It runs on the control goroutine and
+// does not block.
 type meter struct {
 	coordinator *coordinator.Coordinator
 	metrics     *exporter.Entry
 
-	waiters    map[coordinator.Waiter]call
-	jobs       map[specifier.JobID]*measured
-	sweep      int
+	waiters    map[coordinator.Waiter]callerRequest
+	jobs       map[specifier.JobID]*measuredJob
+	sweepSize  int
 	queued     map[exporter.Class]int
 	profiles   map[string]specifier.Profile
 	slots      map[string]int // by service
@@ -29,25 +30,25 @@
 }
 
 func newMeter(machine *coordinator.Coordinator, metrics *exporter.Entry) *meter {
-	return &meter{coordinator: machine, metrics: metrics, waiters: make(map[coordinator.Waiter]call),
-		jobs: make(map[specifier.JobID]*measured), sweep: sweepAt, queued: make(map[exporter.Class]int), slots: make(map[string]int)}
+	return &meter{coordinator: machine, metrics: metrics, waiters: make(map[coordinator.Waiter]callerRequest),
+		jobs: make(map[specifier.JobID]*measuredJob), sweepSize: minSweepSize, queued: make(map[exporter.Class]int), slots: make(map[string]int)}
 }
 
 // Step handles one event.
 func (m *meter) Step(now time.Time, event coordinator.Event) []coordinator.Action {
-	m.event(now, event)
-	return m.actions(now, m.coordinator.Step(now, event))
+	m.observeEvent(now, event)
+	return m.observeActions(now, m.coordinator.Step(now, event))
 }
 
 // Expire handles the timers that are due.
 func (m *meter) Expire(now time.Time) []coordinator.Action {
-	return m.actions(now, m.coordinator.Expire(now))
+	return m.observeActions(now, m.coordinator.Expire(now))
 }
 
 // Next returns the earliest deadline.
 func (m *meter) Next() time.Time { return m.coordinator.Next() }
 
-func (m *meter) event(now time.Time, event coordinator.Event) {
+func (m *meter) observeEvent(now time.Time, event coordinator.Event) {
 	switch event := event.(type) {
 	case coordinator.Submitted:
 		m.submitted(now, event)
@@ -73,19 +74,19 @@
 }
 
 func (m *meter) submitted(now time.Time, e coordinator.Submitted) {
-	m.waiters[e.Waiter] = call{arrival: now, deadline: e.Job.Deadline}
+	m.waiters[e.Waiter] = callerRequest{arrival: now, deadline: e.Job.Deadline}
 	if m.jobs[e.Job.ID] != nil {
 		return
 	}
-	if len(m.jobs) >= m.sweep {
+	if len(m.jobs) >= m.sweepSize {
 		for id, job := range m.jobs {
 			if job.deadline.Before(now) {
-				m.forget(id)
+				m.removeJob(id)
 			}
 		}
-		m.sweep = max(2*len(m.jobs), sweepAt)
+		m.sweepSize = max(2*len(m.jobs), minSweepSize)
 	}
-	m.jobs[e.Job.ID] = &measured{profile: e.Job.Profile, deadline: e.Job.Deadline, tasks: len(e.Job.Tasks), sent: make(map[string]time.Time)}
+	m.jobs[e.Job.ID] = &measuredJob{profile: e.Job.Profile, deadline: e.Job.Deadline, tasks: len(e.Job.Tasks), sent: make(map[string]time.Time)}
 }
 
 func (m *meter) taskDone(e coordinator.TaskDone) {
@@ -105,7 +106,7 @@
 	}
 }
 
-func (m *meter) actions(now time.Time, actions []coordinator.Action) []coordinator.Action {
+func (m *meter) observeActions(now time.Time, actions []coordinator.Action) []coordinator.Action {
 	for range m.coordinator.Scheduler.Ejections() {
 		m.metrics.Ejected()
 	}
@@ -113,70 +114,70 @@
 		switch action := action.(type) {
 		case coordinator.RecordEvent:
 			if job := m.jobs[action.Event.Job]; job != nil {
-				m.noted(now, job, action.Event)
+				m.eventRecorded(now, job, action.Event)
 			}
 		case coordinator.Reply:
 			m.replied(now, action)
 		case coordinator.Propose:
 			if finish, ok := action.Command.(specifier.FinishJob); ok && m.jobs[finish.Job] != nil {
-				m.wait(m.jobs[finish.Job], 0)
+				m.setWaiting(m.jobs[finish.Job], 0)
 			}
 		}
 	}
 	return actions
 }
 
-func (m *meter) noted(now time.Time, job *measured, event recorder.Event) {
+func (m *meter) eventRecorded(now time.Time, job *measuredJob, event recorder.Event) {
 	switch event.Kind {
 	case recorder.JobProposed:
 		job.proposed = now
-		m.wait(job, 0)
+		m.setWaiting(job, 0)
 	case recorder.JobTaken:
 		job.class = m.classOf(job.profile)
 	case recorder.JobAccepted:
 		job.class = m.classOf(job.profile)
 		job.accepted = now
-		m.wait(job, job.tasks)
+		m.setWaiting(job, job.tasks)
 	case recorder.TaskAssigned:
 		m.assigned(now, job, event.Task)
 	case recorder.TaskReturned:
 		if recorder.IsRefusal(event) {
 			m.metrics.Refused()
 			job.sent[event.Task] = now
-			m.wait(job, job.waiting+1)
+			m.setWaiting(job, job.waiting+1)
 		}
 	}
 }
 
-// assigned counts a task that waited since its job was accepted, or since it was last returned.
-func (m *meter) assigned(now time.Time, job *measured, task string) {
-	since, again := job.sent[task]
-	if again {
+// assigned records how long a task waited since its job was accepted, or since an agent last refused the task.
+func (m *meter) assigned(now time.Time, job *measuredJob, task string) {
+	since, resent := job.sent[task]
+	if resent {
 		m.metrics.Retried()
 	} else if since = job.accepted; since.IsZero() {
-		since = now // a job that was taken over
+		since = now // the job was taken over
 	}
 	m.metrics.Assigned(job.class, now.Sub(since))
 	job.sent[task] = now
-	m.wait(job, max(job.waiting-1, 0))
+	m.setWaiting(job, max(job.waiting-1, 0))
 }
 
 func (m *meter) replied(now time.Time, reply coordinator.Reply) {
-	called, ok := m.waiters[reply.Waiter]
+	request, ok := m.waiters[reply.Waiter]
 	if !ok {
-		return // another entry, a cancellation or a probe
+		return // the reply is to another entry, a cancellation or a probe
 	}
 	delete(m.waiters, reply.Waiter)
 	m.metrics.Answered(reply.Answer.Outcome, reply.Answer.Reason)
 	if reply.Answer.Outcome == specifier.Complete {
 		class, ideal := m.ideal(reply.Job)
-		m.metrics.Completed(class, now.Sub(called.arrival), ideal, called.deadline.Sub(now))
+		m.metrics.Completed(class, now.Sub(request.arrival), ideal, request.deadline.Sub(now))
 	}
-	m.forget(reply.Job)
+	m.removeJob(reply.Job)
 }
 
-// ideal returns the class of the job's longest task, and the time that the job takes when every slot of
-// its service runs nothing else; 0 when its tasks did not run for this entry.
+// ideal returns the class of the job's longest task, and the time that the job would take if all slots of
+// its service ran nothing else. The time is 0 if no task of the job ran for this entry.
 func (m *meter) ideal(id specifier.JobID) (exporter.Class, time.Duration) {
 	job := m.jobs[id]
 	if job == nil {
@@ -186,15 +187,15 @@
 	return classes[classifier.Of(job.longest)], max(job.longest, job.total/time.Duration(slots))
 }
 
-func (m *meter) forget(id specifier.JobID) {
+func (m *meter) removeJob(id specifier.JobID) {
 	if job := m.jobs[id]; job != nil {
-		m.wait(job, 0)
+		m.setWaiting(job, 0)
 		delete(m.jobs, id)
 	}
 }
 
-// wait sets how many tasks of the job wait here.
-func (m *meter) wait(job *measured, tasks int) {
+// setWaiting sets the number of the job's tasks that wait at this entry.
+func (m *meter) setWaiting(job *measuredJob, tasks int) {
 	if job.waiting == tasks {
 		return
 	}
--- a/entry/runner/pools.go
+++ b/entry/runner/pools.go
@@ -8,19 +8,19 @@
 	"oleandertally/core/specifier"
 )
 
-// pools are the connections to each role; a connection accepts only a server of its role.
+// pools are the connections to the members of each role. A connection accepts only a server of that role.
 type pools struct {
 	controllers *dialer.Pool
 	agents      *dialer.Pool
 	entries     *dialer.Pool
 }
 
-// newPools returns empty pools. Control sees the messages to and from controllers, all those of every pool; all
-// may be nil.
-func newPools(security *authenticator.Authenticator, maxMessage int, control, all stats.Handler) pools {
+// newPools returns empty pools. The handler control observes the connections to controllers; every observes the
+// connections of all pools and may be nil.
+func newPools(security *authenticator.Authenticator, maxMessage int, control, every stats.Handler) pools {
 	var handlers []stats.Handler
-	if all != nil {
-		handlers = append(handlers, all)
+	if every != nil {
+		handlers = append(handlers, every)
 	}
 	pool := func(role specifier.Role) *dialer.Pool {
 		return &dialer.Pool{Credentials: security.ClientCredentials(role, ""), MaxMessage: maxMessage, Stats: handlers}
--- a/entry/runner/secure_test.go
+++ b/entry/runner/secure_test.go
@@ -38,10 +38,10 @@
 	return entry
 }
 
-// Guards against an entry that takes jobs without TLS, from strangers, or from one team for another.
+// Guards against an entry that accepts jobs without TLS, without a valid token, or with the token of another team.
 func TestCallersNeedTokens(t *testing.T) {
 	entry := startSecure(t, newIssuer(t))
-	// Callers know the entry by its address; the test has no certificate for that.
+	// A caller verifies the entry by its address, for which the test has no certificate.
 	transport := &http.Transport{DisableKeepAlives: true, TLSClientConfig: &tls.Config{InsecureSkipVerify: true}}
 	post := func(scheme, token, body string) int {
 		request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, scheme+"://"+entry.Settings.HTTPAddr.String()+"/v1/jobs", strings.NewReader(body))
@@ -62,7 +62,7 @@
 	must.Eq(t, http.StatusBadRequest, post("http", "web-token", job), must.Sprint("expected the TLS layer's own answer"))
 }
 
-// Guards against a method that a role may call although it has no business there.
+// Guards against a method that accepts calls from a role without permission.
 func TestMethodsAreGuardedByRole(t *testing.T) {
 	site := newIssuer(t)
 	entry := startSecure(t, site)
--- a/entry/runner/steps.go
+++ b/entry/runner/steps.go
@@ -11,16 +11,16 @@
 	"oleandertally/entry/coordinator"
 )
 
-// Steps are those of a graceful shutdown. They run while Run goes on.
+// Steps returns the steps of a graceful shutdown. They are executed while Run is still running.
 func (e *Entry) Steps() []supervisor.Step {
 	return []supervisor.Step{
 		{Name: "AnswerJobs", Run: e.answerJobs},
 		{Name: "CloseListeners", Run: e.closeListeners},
-		{Name: "Leave", Run: e.leaveSite},
+		{Name: "Leave", Run: e.deregister},
 	}
 }
 
-// answerJobs refuses new jobs and waits until every other one is answered and recorded.
+// answerJobs refuses new jobs and waits until every accepted job is answered and recorded, for at least Notice.
 func (e *Entry) answerJobs(ctx context.Context) error {
 	notice := time.NewTimer(e.Notice)
 	defer notice.Stop()
@@ -48,22 +48,21 @@
 	}
 }
 
-// closeListeners ends the servers after the requests that they have, and waits for what these have left
-// to record.
+// closeListeners stops the servers after their open requests are answered, and waits until the answers are recorded.
 func (e *Entry) closeListeners(ctx context.Context) error {
 	if err := e.web.Shutdown(ctx); err != nil {
-		return errors.Wrap(err, "entry: answer the last callers")
+		return errors.Wrap(err, "entry: shut down the HTTP server")
 	}
-	// The supervisor stops waiting for this when ctx ends; Run then breaks what is still open.
+	// The supervisor stops waiting for this step when ctx ends; Run then closes connections that are still open.
 	e.server.GracefulStop()
 	return e.drain(ctx)
 }
 
-// leaveSite records that the entry has left.
-func (e *Entry) leaveSite(ctx context.Context) error {
+// deregister ends the session at the controllers and records the entry's departure.
+func (e *Entry) deregister(ctx context.Context) error {
 	close(e.leave)
 	select {
-	case <-e.attended:
+	case <-e.sessionEnded:
 	case <-ctx.Done():
 		return context.Cause(ctx)
 	}
@@ -71,7 +70,7 @@
 	return departure.Run(ctx)
 }
 
-// probe passes an event through the control goroutine.
+// probe checks that the control goroutine handles an event.
 func (e *Entry) probe(ctx context.Context) error {
 	waiter, reply := e.waiters.Open()
 	defer e.waiters.Close(waiter)
