--- a/entry/connector/proposer.go
+++ b/entry/connector/proposer.go
@@ -21,12 +21,12 @@
 )
 
 const (
-	// maxReconnectDelay is the maximum wait before the proposer connects to the next controller.
+	// maxReconnectDelay is the upper bound of the random wait before the proposer connects to the next controller.
 	maxReconnectDelay = 200 * time.Millisecond
 	// decisionTimeout is how long a controller may leave proposals undecided before the proposer tries
 	// another one. A partition can isolate a leader without breaking the connection.
 	decisionTimeout = 2 * time.Second
-	// maxProposalsPerMessage limits the size of one message to the controllers.
+	// maxProposalsPerMessage is the maximum number of proposals in one message to the controllers.
 	maxProposalsPerMessage = 1024
 )
 
@@ -46,7 +46,7 @@
 	ready        chan struct{}
 }
 
-// NewProposer returns a proposer whose fields are still to be set.
+// NewProposer returns a proposer whose exported fields must be set before Run.
 func NewProposer() *Proposer {
 	return &Proposer{pending: make(map[uint64]specifier.Command), ready: make(chan struct{}, 1)}
 }
@@ -176,15 +176,15 @@
 
 func (p *Proposer) receive(ctx context.Context, stream encoder.Registry_ProposeClient, answers chan<- struct{}) (netip.AddrPort, error) {
 	for {
-		var none netip.AddrPort
+		var noLeader netip.AddrPort
 		verdicts, err := stream.Recv()
 		if err != nil {
-			return none, errors.Wrap(err, "proposer: receive")
+			return noLeader, errors.Wrap(err, "proposer: receive")
 		}
 		for _, item := range verdicts.Items {
 			decision, err := encoder.DecodeDecision(item.Decision)
 			if err != nil {
-				return none, errors.Wrap(err, "proposer: decision")
+				return noLeader, errors.Wrap(err, "proposer: decision")
 			}
 			if decision.Verdict == specifier.NotLeader {
 				return decision.Leader, errors.New("proposer: the controller does not lead")
@@ -194,7 +194,7 @@
 				continue
 			}
 			if err := deliver(ctx, p.Sink, coordinator.Decided{Command: command, Decision: decision}); err != nil {
-				return none, err
+				return noLeader, err
 			}
 		}
 		select {
--- a/entry/responder/handler.go
+++ b/entry/responder/handler.go
@@ -29,7 +29,7 @@
 	MaxBody     int64                         // maximum size of a submission in bytes
 	BodyTimeout time.Duration                 // how long a caller may take to send the body
 	Requests    *Gate                         // limits concurrent requests
-	Refused     func(answer specifier.Answer) // called for each request that is refused before the coordinator sees it
+	Refused     func(answer specifier.Answer) // called for each submission that is refused before the coordinator sees it
 }
 
 // Routes returns the handler of the resource /v1/jobs.
