--- /dev/null
+++ b/entry/requester/disconnected.go
@@ -0,0 +1,4 @@
+package requester
+
+// disconnected reports that the stream ended.
+type disconnected struct{}
--- a/entry/requester/unlinked.go
+++ /dev/null
@@ -1,4 +0,0 @@
-package requester
-
-// unlinked tells that the stream ended.
-type unlinked struct{}
--- a/entry/runner/call.go
+++ /dev/null
@@ -1,9 +0,0 @@
-package runner
-
-import "time"
-
-// call is one caller's request that waits for its answer.
-type call struct {
-	arrival  time.Time
-	deadline time.Time
-}
--- a/local/transcriber/perform.go
+++ b/local/transcriber/perform.go
@@ -23,7 +23,7 @@
 	link := uint64(e.id.Incarnation)
 	for _, action := range actions {
 		switch action := action.(type) {
-		case coordinator.Note:
+		case coordinator.RecordEvent:
 			s.record(e.id, action.Event)
 		case coordinator.Propose:
 			s.propose(e, action.Command)
@@ -73,7 +73,7 @@
 	answer := func(reply coordinator.Reply) {
 		s.after(s.site.Hop, func() {
 			if e.alive {
-				s.entry(e, coordinator.OwnerAnswered{Job: question.Job, Owner: question.Owner, Gone: reply.Gone, Answer: reply.Answer})
+				s.entry(e, coordinator.OwnerAnswered{Job: question.Job, Owner: question.Owner, Unavailable: reply.NotOwner, Answer: reply.Answer})
 			}
 		})
 	}
@@ -82,11 +82,11 @@
 			if owner.alive && owner.id == question.Owner {
 				waiter := coordinator.Waiter(s.next())
 				owner.asks[waiter] = answer
-				s.entry(owner, coordinator.Awaited{Waiter: waiter, Job: question.Job, Digest: question.Digest, Cancel: question.Cancel})
+				s.entry(owner, coordinator.AnswerRequested{Waiter: waiter, Job: question.Job, Digest: question.Digest, Cancel: question.Cancel})
 				return
 			}
 		}
-		answer(coordinator.Reply{Gone: true})
+		answer(coordinator.Reply{NotOwner: true})
 	})
 }
 
@@ -109,17 +109,17 @@
 			s.run(a, action)
 		case executor.Done:
 			s.toEntry(action.Entry, coordinator.TaskDone{Agent: a.id, Key: action.Key, Epoch: action.Epoch, Broken: action.Broken,
-				Body: action.Body, Detail: action.Detail, RunTime: action.RunTime}, coordinator.Loaded{Agent: a.id, Load: action.Load})
+				Body: action.Body, Detail: action.Detail, RunTime: action.RunTime}, coordinator.LoadReceived{Agent: a.id, Load: action.Load})
 		case executor.Refused:
 			s.toEntry(action.Entry, coordinator.TaskRefused{Agent: a.id, Key: action.Key, Epoch: action.Epoch, Cause: string(action.Cause)},
-				coordinator.Loaded{Agent: a.id, Load: action.Load})
+				coordinator.LoadReceived{Agent: a.id, Load: action.Load})
 		case executor.Report:
-			s.toEntry(action.Entry, coordinator.Reported{Agent: a.id, Job: action.Job, Epoch: action.Epoch, Tasks: action.Tasks, Mark: action.Mark})
+			s.toEntry(action.Entry, coordinator.ReportReceived{Agent: a.id, Job: action.Job, Epoch: action.Epoch, Tasks: action.Tasks, Mark: action.Mark})
 		case executor.SendLoad:
-			s.toEntry(action.Entry, coordinator.Loaded{Agent: a.id, Load: action.Load})
+			s.toEntry(action.Entry, coordinator.LoadReceived{Agent: a.id, Load: action.Load})
 		case executor.Announce:
 			for _, e := range s.entries {
-				s.toEntry(e.id, coordinator.Loaded{Agent: a.id, Load: action.Load})
+				s.toEntry(e.id, coordinator.LoadReceived{Agent: a.id, Load: action.Load})
 			}
 		}
 	}
