--- /dev/null
+++ b/controller/dispatcher/becamefollower.go
@@ -0,0 +1,4 @@
+package dispatcher
+
+// BecameFollower tells that this controller does not lead.
+type BecameFollower struct{}
--- a/controller/dispatcher/bench_test.go
+++ b/controller/dispatcher/bench_test.go
@@ -17,7 +17,7 @@
 			now := time.Unix(1000, 0)
 			d := &Dispatcher{Keeper: jobrecorder.New(time.Minute), Settings: Defaults(), Leading: func(time.Time) bool { return true }, Open: func() bool { return true }}
 			step := func(event Event) []Action { return d.Step(now, event) }
-			step(Led{Term: 1})
+			step(BecameLeader{Term: 1})
 			step(Applied{specifier.QueueCommand{Manifest: &specifier.Manifest{Version: 1, Queues: []specifier.Queue{
 				{Name: "q", Host: "h", Prefix: "/q/", Pool: "p", MaxAttempts: 2, Stretch: 1.6, Target: 60 * time.Millisecond}}}}})
 			var running []runAt
--- a/controller/dispatcher/dispatcher.go
+++ b/controller/dispatcher/dispatcher.go
@@ -51,9 +51,9 @@
 		d.reset()
 	}
 	switch event := event.(type) {
-	case Led:
+	case BecameLeader:
 		d.lead(event.Term)
-	case Followed:
+	case BecameFollower:
 		d.reset()
 	case Applied:
 		d.apply(event.Command)
--- a/controller/dispatcher/dispatcher_test.go
+++ b/controller/dispatcher/dispatcher_test.go
@@ -66,8 +66,8 @@
 	if len(b.d.holders[name(2)].runs) > 0 {
 		at = 2
 	}
-	b.step(Followed{})
-	b.step(Led{Term: 2})
+	b.step(BecameFollower{})
+	b.step(BecameLeader{Term: 2})
 	b.submit("a", 1, true)
 	must.SliceEmpty(t, b.starts())
 	b.attach(3 - at)
--- a/controller/dispatcher/end_test.go
+++ b/controller/dispatcher/end_test.go
@@ -67,8 +67,8 @@
 		key := b.starts()[0].Key
 		b.reportEnd(1, key, specifier.EndFailed)
 		b.recordEnd(key, specifier.EndFailed)
-		b.step(Followed{})
-		b.step(Led{Term: 2})
+		b.step(BecameFollower{})
+		b.step(BecameLeader{Term: 2})
 		b.attach(1)
 		b.report(1, func(report *specifier.LeaseReport) {
 			report.Ends, report.Runs = []specifier.RunEnd{{Number: 1, Key: key, How: specifier.EndFailed}}, nil
--- a/controller/dispatcher/followed.go
+++ /dev/null
@@ -1,4 +0,0 @@
-package dispatcher
-
-// Followed tells that this controller does not lead.
-type Followed struct{}
--- a/controller/dispatcher/orphan_test.go
+++ b/controller/dispatcher/orphan_test.go
@@ -12,8 +12,8 @@
 // found lets a new leader find one run that no job claims at its only agent.
 func found(b *desk, room specifier.Resources) specifier.RunKey {
 	key := specifier.RunKey{Task: "gone.0.0.0", Run: 4097}
-	b.step(Followed{})
-	b.step(Led{Term: 2})
+	b.step(BecameFollower{})
+	b.step(BecameLeader{Term: 2})
 	list := func(report *specifier.LeaseReport) { report.Runs = []specifier.LeasedRun{{Key: key, Resources: room}} }
 	b.report(1, list)
 	b.report(1, list)
--- a/controller/driver/driver.go
+++ b/controller/driver/driver.go
@@ -190,13 +190,13 @@
 		case replicator.BecameLeader:
 			d.leader = netip.AddrPort{}
 			d.control(now, d.Sequencer.Step(now, sequencer.Led{}))
-			d.queue(now, d.Dispatcher.Step(now, dispatcher.Led{Term: uint64(action.Term)}))
+			d.queue(now, d.Dispatcher.Step(now, dispatcher.BecameLeader{Term: uint64(action.Term)}))
 			d.watchPeers(now)
 			d.out = append(d.out, Action{Log: action})
 		case replicator.BecameFollower:
 			d.leader = d.addrOf(action.Leader)
 			d.control(now, d.Sequencer.Step(now, sequencer.Followed{Leader: d.leader}))
-			d.queue(now, d.Dispatcher.Step(now, dispatcher.Followed{}))
+			d.queue(now, d.Dispatcher.Step(now, dispatcher.BecameFollower{}))
 			d.pruneAt = time.Time{}
 			if !action.Leader.IsZero() {
 				d.handedOver("")
--- a/local/simulator/world_test.go
+++ b/local/simulator/world_test.go
@@ -126,7 +126,7 @@
 	w.leading = index
 	w.tell("controller %d leads term %d", index, w.term)
 	w.leaders[index].term = w.term
-	w.leaders[index].step(dispatcher.Led{Term: w.term})
+	w.leaders[index].step(dispatcher.BecameLeader{Term: w.term})
 }
 
 // depose ends the leadership. The former leader learns of it later; its lease has ended.
@@ -139,7 +139,7 @@
 	w.tell("controller %d is deposed", former.index)
 	w.after(w.span(0, time.Second), func() {
 		if w.leading != former.index {
-			former.step(dispatcher.Followed{})
+			former.step(dispatcher.BecameFollower{})
 		}
 	})
 	next := (former.index + 1 + w.random.IntN(controllers-1)) % controllers
