--- a/controller/dispatcher/bench_test.go
+++ b/controller/dispatcher/bench_test.go
@@ -40,14 +40,14 @@
 					if h := d.holders[name(agent)]; h != nil {
 						report.Token = d.fence(h)
 					}
-					take(step(Reported{Stream: Stream(agent), Report: report}))
+					take(step(ReportReceived{Stream: Stream(agent), Report: report}))
 				}
 			}
 			jobs, numbers := 0, make(map[Stream]uint64)
 			fill := func() {
 				for len(d.ready.list) < 200 {
 					jobs++
-					take(step(Called{Stream: caller, Sequence: uint64(jobs), Call: specifier.QueueCall{Verb: specifier.SubmitQueued, Host: "h", Path: fmt.Sprintf("/q/%d", jobs),
+					take(step(CallReceived{Stream: caller, Sequence: uint64(jobs), Call: specifier.QueueCall{Verb: specifier.SubmitQueued, Host: "h", Path: fmt.Sprintf("/q/%d", jobs),
 						Job: specifier.QueuedJob{Transient: true, Steps: []specifier.Step{{Count: 4, Resources: specifier.Resources{MilliCores: 1400 + jobs%400, Memory: 64}, Estimate: 100 * time.Millisecond}}}}}))
 				}
 			}
@@ -62,7 +62,7 @@
 				if i%4 == 0 {
 					renewal = uint64(i)
 				}
-				take(step(Reported{Stream: at.stream, Report: specifier.LeaseReport{Agent: name(int(at.stream)), Incarnation: 1, Renewal: renewal,
+				take(step(ReportReceived{Stream: at.stream, Report: specifier.LeaseReport{Agent: name(int(at.stream)), Incarnation: 1, Renewal: renewal,
 					Ends: []specifier.RunEnd{{Number: numbers[at.stream], Key: at.key, How: specifier.EndDone}}}}))
 				if i%workers == 0 {
 					for agent := 1; agent <= workers; agent++ {
--- a/controller/dispatcher/call.go
+++ b/controller/dispatcher/call.go
@@ -14,7 +14,7 @@
 // unavailable tells the caller that another controller may know.
 var unavailable = specifier.QueueReply{Result: specifier.QueueUnavailable, Detail: "this controller does not lead"}
 
-func (d *Dispatcher) called(event Called) {
+func (d *Dispatcher) called(event CallReceived) {
 	from := waiter{stream: event.Stream, sequence: event.Sequence}
 	if event.Call.Verb == specifier.AbandonQueued {
 		d.abandon(from)
--- a/controller/dispatcher/called.go
+++ b/controller/dispatcher/callreceived.go
@@ -2,8 +2,8 @@
 
 import "oleandertally/core/specifier"
 
-// Called is a call of an entry. Sequence numbers the calls of a stream.
-type Called struct {
+// CallReceived is a call of an entry. Sequence numbers the calls of a stream.
+type CallReceived struct {
 	Stream   Stream
 	Sequence uint64
 	Call     specifier.QueueCall
--- a/controller/dispatcher/desk_test.go
+++ b/controller/dispatcher/desk_test.go
@@ -65,7 +65,7 @@
 	if change != nil {
 		change(&report)
 	}
-	b.step(Reported{Stream: Stream(agent), Report: report})
+	b.step(ReportReceived{Stream: Stream(agent), Report: report})
 }
 
 func (b *desk) attach(agent int) {
@@ -74,7 +74,7 @@
 }
 
 func (b *desk) submit(id string, count int, transient bool) {
-	b.step(Called{Stream: caller, Sequence: uint64(len(id)), Call: specifier.QueueCall{Verb: specifier.SubmitQueued, Host: "h", Path: "/q/" + id,
+	b.step(CallReceived{Stream: caller, Sequence: uint64(len(id)), Call: specifier.QueueCall{Verb: specifier.SubmitQueued, Host: "h", Path: "/q/" + id,
 		Job: specifier.QueuedJob{Transient: transient, Steps: []specifier.Step{{Count: count, Resources: specifier.Resources{MilliCores: 1000, Memory: 1}, Estimate: b.estimate}}}}})
 }
 
--- a/controller/dispatcher/dispatcher.go
+++ b/controller/dispatcher/dispatcher.go
@@ -59,11 +59,11 @@
 		d.apply(event.Command)
 	case Dropped:
 		d.dropped(event.Command)
-	case Called:
+	case CallReceived:
 		d.called(event)
 	case CallerGone:
 		d.callerGone(event.Stream)
-	case Reported:
+	case ReportReceived:
 		d.reported(event)
 	case AgentGone:
 		d.agentGone(event.Stream)
--- a/controller/dispatcher/dispatcher_test.go
+++ b/controller/dispatcher/dispatcher_test.go
@@ -20,7 +20,7 @@
 func TestRoomOfAStoppedRunStaysInUse(t *testing.T) {
 	b := newDesk(t, 1)
 	b.submit("a", 2, true)
-	b.step(Called{Stream: caller, Sequence: 99, Call: specifier.QueueCall{Verb: specifier.CancelQueued, Host: "h", Path: "/q/a"}})
+	b.step(CallReceived{Stream: caller, Sequence: 99, Call: specifier.QueueCall{Verb: specifier.CancelQueued, Host: "h", Path: "/q/a"}})
 	b.submit("bb", 2, true)
 	must.SliceEmpty(t, b.starts())
 }
@@ -89,7 +89,7 @@
 	b := newDesk(t, 1)
 	b.submit("a", 1, false)
 	key := b.starts()[0].Key
-	actions := b.d.Step(b.now, Reported{Stream: 1, Report: specifier.LeaseReport{Agent: name(1), Incarnation: 1,
+	actions := b.d.Step(b.now, ReportReceived{Stream: 1, Report: specifier.LeaseReport{Agent: name(1), Incarnation: 1,
 		Ends: []specifier.RunEnd{{Number: 1, Key: key, How: specifier.EndDone}}}})
 	for _, order := range find[Order](actions) {
 		must.Eq(t, 0, order.Order.Noted)
@@ -112,7 +112,7 @@
 	})
 	t.Run("unknown queue", func(t *testing.T) {
 		b := newDesk(t, 1)
-		b.step(Called{Stream: caller, Sequence: 1, Call: specifier.QueueCall{Verb: specifier.AskQueued, Host: "h", Path: "/other/a"}})
+		b.step(CallReceived{Stream: caller, Sequence: 1, Call: specifier.QueueCall{Verb: specifier.AskQueued, Host: "h", Path: "/other/a"}})
 		b.mustReply(specifier.QueueUnknown)
 	})
 	t.Run("never started in time", func(t *testing.T) { // guards against a refusal of a job that has run
@@ -153,7 +153,7 @@
 // Guards against a caller that learns of the end of its job only with its next question.
 func TestQuestionAtTheEnd(t *testing.T) {
 	ask := func(b *desk) {
-		b.step(Called{Stream: caller, Sequence: 50, Call: specifier.QueueCall{Verb: specifier.AskQueued, Host: "h", Path: "/q/a"}})
+		b.step(CallReceived{Stream: caller, Sequence: 50, Call: specifier.QueueCall{Verb: specifier.AskQueued, Host: "h", Path: "/q/a"}})
 	}
 	t.Run("the job ends", func(t *testing.T) {
 		b := newDesk(t, 1)
@@ -185,7 +185,7 @@
 func TestWorkersThatAStepAllows(t *testing.T) {
 	submit := func(b *desk, step specifier.Step) {
 		step.Resources, step.Estimate = specifier.Resources{MilliCores: 500, Memory: 1}, 100*time.Millisecond
-		b.step(Called{Stream: caller, Sequence: 1, Call: specifier.QueueCall{Verb: specifier.SubmitQueued, Host: "h", Path: "/q/a",
+		b.step(CallReceived{Stream: caller, Sequence: 1, Call: specifier.QueueCall{Verb: specifier.SubmitQueued, Host: "h", Path: "/q/a",
 			Job: specifier.QueuedJob{Transient: true, Steps: []specifier.Step{step}}}})
 	}
 	t.Run("of its label only", func(t *testing.T) {
--- a/controller/dispatcher/end_test.go
+++ b/controller/dispatcher/end_test.go
@@ -19,7 +19,7 @@
 
 // reportEnd lets agent 1 list one end, and returns what the dispatcher does before anything is recorded.
 func (b *desk) reportEnd(number uint64, key specifier.RunKey, how specifier.EndKind) []Action {
-	return b.d.Step(b.now, Reported{Stream: 1, Report: specifier.LeaseReport{Agent: name(1), Incarnation: 1,
+	return b.d.Step(b.now, ReportReceived{Stream: 1, Report: specifier.LeaseReport{Agent: name(1), Incarnation: 1,
 		Ends: []specifier.RunEnd{{Number: number, Key: key, How: how}}}})
 }
 
--- a/controller/dispatcher/orphan_test.go
+++ b/controller/dispatcher/orphan_test.go
@@ -35,7 +35,7 @@
 	b.estimate = time.Minute // or the run would be stopped because it stands still
 	b.submit("a", 1, true)
 	key := b.starts()[0].Key
-	b.step(Called{Stream: caller, Sequence: 1, Call: specifier.QueueCall{Verb: specifier.AbandonQueued}})
+	b.step(CallReceived{Stream: caller, Sequence: 1, Call: specifier.QueueCall{Verb: specifier.AbandonQueued}})
 	until := b.now.Add(b.d.Settings.KeepAfter)
 	for b.now.Before(until.Add(-time.Second)) {
 		b.now = b.now.Add(time.Second)
--- a/controller/dispatcher/report.go
+++ b/controller/dispatcher/report.go
@@ -8,7 +8,7 @@
 
 // reported handles a report of an agent. Ends and refusals come before the list: a run that is not in the list and has
 // no end is gone.
-func (d *Dispatcher) reported(event Reported) {
+func (d *Dispatcher) reported(event ReportReceived) {
 	if !d.leading || event.Report.Agent == "" {
 		return
 	}
--- a/controller/dispatcher/reported.go
+++ b/controller/dispatcher/reportreceived.go
@@ -2,8 +2,8 @@
 
 import "oleandertally/core/specifier"
 
-// Reported is a report of an agent.
-type Reported struct {
+// ReportReceived is a report of an agent.
+type ReportReceived struct {
 	Stream Stream
 	Report specifier.LeaseReport
 }
--- a/controller/server/queues.go
+++ b/controller/server/queues.go
@@ -108,7 +108,7 @@
 				if err != nil {
 					return status.Error(codes.InvalidArgument, err.Error())
 				}
-				event := dispatcher.Called{Stream: id, Sequence: each.Sequence, Call: call}
+				event := dispatcher.CallReceived{Stream: id, Sequence: each.Sequence, Call: call}
 				if err := q.mailbox.Send(ctx, driver.Event{Queue: event}); err != nil {
 					return err
 				}
@@ -133,7 +133,7 @@
 			if err != nil {
 				return err
 			}
-			event := dispatcher.Reported{Stream: id, Report: encoder.DecodeLeaseReport(message)}
+			event := dispatcher.ReportReceived{Stream: id, Report: encoder.DecodeLeaseReport(message)}
 			if err := q.mailbox.Send(ctx, driver.Event{Queue: event}); err != nil {
 				return err
 			}
--- a/local/simulator/fakeagent_test.go
+++ b/local/simulator/fakeagent_test.go
@@ -166,7 +166,7 @@
 	}
 	arrives := later(w.now.Add(w.span(time.Millisecond, 4*time.Millisecond)), a.upTo)
 	a.upTo = arrives
-	w.after(arrives.Sub(w.now), func() { leader.step(dispatcher.Reported{Stream: stream, Report: report}) })
+	w.after(arrives.Sub(w.now), func() { leader.step(dispatcher.ReportReceived{Stream: stream, Report: report}) })
 }
 
 func (a *fakeAgent) arm() {
--- a/local/simulator/fakecaller_test.go
+++ b/local/simulator/fakecaller_test.go
@@ -54,7 +54,7 @@
 		c.stream, c.leader, c.term = lastStream, w.leaders[w.leading], w.leaders[w.leading].term
 		leader, stream := c.leader, c.stream
 		w.after(w.span(time.Millisecond, 4*time.Millisecond), func() {
-			leader.step(dispatcher.Called{Stream: stream, Sequence: 1, Call: specifier.QueueCall{Verb: specifier.SubmitQueued, Host: queueHost, Path: queuePrefix + c.id,
+			leader.step(dispatcher.CallReceived{Stream: stream, Sequence: 1, Call: specifier.QueueCall{Verb: specifier.SubmitQueued, Host: queueHost, Path: queuePrefix + c.id,
 				TimeLeft: callerWait, Age: w.now.Sub(c.began), Job: specifier.QueuedJob{Transient: c.transient, Content: c.id,
 					Steps: []specifier.Step{{Count: 3, Resources: specifier.Resources{MilliCores: 1500, Memory: 1}, Estimate: 250 * time.Millisecond},
 						{Count: 1, Resources: specifier.Resources{MilliCores: 1000, Memory: 1}, Estimate: 250 * time.Millisecond, After: []int{0}}}}}})
