--- /dev/null
+++ b/controller/dispatcher/agentdisconnected.go
@@ -0,0 +1,4 @@
+package dispatcher
+
+// AgentDisconnected tells that the stream of an agent ended.
+type AgentDisconnected struct{ Stream Stream }
--- a/controller/dispatcher/agentgone.go
+++ /dev/null
@@ -1,4 +0,0 @@
-package dispatcher
-
-// AgentGone tells that the stream of an agent ended.
-type AgentGone struct{ Stream Stream }
--- a/controller/dispatcher/callergone.go
+++ /dev/null
@@ -1,4 +0,0 @@
-package dispatcher
-
-// CallerGone tells that the stream of an entry ended.
-type CallerGone struct{ Stream Stream }
--- a/controller/dispatcher/dispatcher.go
+++ b/controller/dispatcher/dispatcher.go
@@ -61,11 +61,11 @@
 		d.dropped(event.Command)
 	case CallReceived:
 		d.called(event)
-	case CallerGone:
+	case CallerDisconnected:
 		d.callerGone(event.Stream)
 	case ReportReceived:
 		d.reported(event)
-	case AgentGone:
+	case AgentDisconnected:
 		d.agentGone(event.Stream)
 	}
 	return d.flush()
--- a/controller/dispatcher/dispatcher_test.go
+++ b/controller/dispatcher/dispatcher_test.go
@@ -40,7 +40,7 @@
 	if at.name == name(1) {
 		other = 2
 	}
-	b.step(AgentGone{Stream: at.stream})
+	b.step(AgentDisconnected{Stream: at.stream})
 	for elapsed := time.Duration(0); elapsed < b.d.Settings.GrantSpan; elapsed += 100 * time.Millisecond {
 		b.now = b.now.Add(100 * time.Millisecond)
 		b.report(other, nil)
--- a/local/simulator/fakeagent_test.go
+++ b/local/simulator/fakeagent_test.go
@@ -83,7 +83,7 @@
 	}
 	leader, stream := a.leader, a.stream
 	a.leader = nil
-	a.world.after(a.world.span(0, 500*time.Millisecond), func() { leader.step(dispatcher.AgentGone{Stream: stream}) })
+	a.world.after(a.world.span(0, 500*time.Millisecond), func() { leader.step(dispatcher.AgentDisconnected{Stream: stream}) })
 }
 
 // seek looks for the leader now and then.
--- a/local/simulator/fakecaller_test.go
+++ b/local/simulator/fakecaller_test.go
@@ -47,7 +47,7 @@
 	if c.leader != nil && (w.leading != c.leader.index || c.leader.term != c.term) {
 		gone, stream := c.leader, c.stream
 		c.leader, c.lost = nil, true
-		w.after(w.span(0, 300*time.Millisecond), func() { gone.step(dispatcher.CallerGone{Stream: stream}) })
+		w.after(w.span(0, 300*time.Millisecond), func() { gone.step(dispatcher.CallerDisconnected{Stream: stream}) })
 	}
 	if c.leader == nil && w.leading >= 0 {
 		lastStream++
