--- a/controller/dispatcher/commit.go
+++ b/controller/dispatcher/commit.go
@@ -36,7 +36,7 @@
 }
 
 func (d *Dispatcher) manifestChanged(manifest *specifier.Manifest) {
-	d.emit(Note{Event: "ManifestInForce", Left: int(d.Keeper.Manifest().Version)})
+	d.emit(LogEvent{Event: "ManifestInForce", Left: int(d.Keeper.Manifest().Version)})
 	for _, from := range d.puts[manifest.Version] {
 		d.reply(from, specifier.QueueReply{Result: specifier.QueueOK})
 	}
--- a/controller/dispatcher/end.go
+++ b/controller/dispatcher/end.go
@@ -46,7 +46,7 @@
 	}
 	d.judge(h, t, r, end)
 	if !counts {
-		d.emit(Note{Event: "TaskInterrupted", Job: t.job.ID, Task: t.name, Run: end.Key.Run, Agent: h.name, Detail: end.How.String()})
+		d.emit(LogEvent{Event: "TaskInterrupted", Job: t.job.ID, Task: t.name, Run: end.Key.Run, Agent: h.name, Detail: end.How.String()})
 		if t.state == taskPlaced {
 			d.enqueue(t)
 		}
@@ -99,12 +99,12 @@
 		if r != nil {
 			h.health.succeeded(takenFor(r.began, d.now, t.job.Steps[t.step].Estimate))
 		}
-		d.emit(Note{Event: "TaskDone", Job: t.job.ID, Task: t.name, Run: end.Key.Run, Agent: h.name, Age: age})
+		d.emit(LogEvent{Event: "TaskDone", Job: t.job.ID, Task: t.name, Run: end.Key.Run, Agent: h.name, Age: age})
 	case specifier.EndFailed:
 		t.avoid = h
-		d.emit(Note{Event: "TaskFailed", Job: t.job.ID, Task: t.name, Run: end.Key.Run, Agent: h.name, Age: age})
+		d.emit(LogEvent{Event: "TaskFailed", Job: t.job.ID, Task: t.name, Run: end.Key.Run, Agent: h.name, Age: age})
 		if h.health.failed(t.job.ID, d.now) {
-			d.emit(Note{Event: "WorkerOut", Agent: h.name, Detail: "jobs fail there one after the other"})
+			d.emit(LogEvent{Event: "WorkerOut", Agent: h.name, Detail: "jobs fail there one after the other"})
 		}
 	}
 }
@@ -144,7 +144,7 @@
 		h.restUntil = d.now.Add(restAfter)
 		d.wake(h.restUntil, timer{})
 		if (end.How == specifier.EndRefusedSick || end.How == specifier.EndRefusedOther) && h.health.failed(t.job.ID, d.now) {
-			d.emit(Note{Event: "WorkerOut", Agent: h.name, Detail: "it refuses starts"})
+			d.emit(LogEvent{Event: "WorkerOut", Agent: h.name, Detail: "it refuses starts"})
 		}
 	}
 	d.lose(r, end.How)
--- a/controller/dispatcher/note.go
+++ b/controller/dispatcher/logevent.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Note is one decision for the log. Fields that do not apply are zero.
-type Note struct {
+// LogEvent is one decision for the log. Fields that do not apply are zero.
+type LogEvent struct {
 	Event  string
 	Job    string
 	Task   string
--- a/controller/dispatcher/placement.go
+++ b/controller/dispatcher/placement.go
@@ -129,7 +129,7 @@
 	h.add(r)
 	t.state, t.run = taskPlaced, r
 	t.job.started = true
-	d.emit(Note{Event: "TaskStarted", Job: t.job.ID, Task: t.name, Run: r.key.Run, Agent: h.name, Age: d.now.Sub(t.job.arrived)})
+	d.emit(LogEvent{Event: "TaskStarted", Job: t.job.ID, Task: t.name, Run: r.key.Run, Agent: h.name, Age: d.now.Sub(t.job.arrived)})
 	d.watch(r)
 }
 
@@ -141,7 +141,7 @@
 	r.stopping = true
 	order := d.command(r.holder)
 	order.Stops = append(order.Stops, r.key)
-	d.emit(Note{Event: "RunStopped", Task: r.key.Task, Run: r.key.Run, Agent: r.holder.name})
+	d.emit(LogEvent{Event: "RunStopped", Task: r.key.Task, Run: r.key.Run, Agent: r.holder.name})
 }
 
 const (
@@ -170,7 +170,7 @@
 		return
 	}
 	if r.holder.health.eject(d.now) {
-		d.emit(Note{Event: "WorkerOut", Agent: r.holder.name, Task: r.key.Task, Run: r.key.Run, Detail: "a run stands still", Age: d.now.Sub(r.began)})
+		d.emit(LogEvent{Event: "WorkerOut", Agent: r.holder.name, Task: r.key.Task, Run: r.key.Run, Detail: "a run stands still", Age: d.now.Sub(r.began)})
 	}
 	r.task.avoid = r.holder
 	d.stop(r)
--- a/controller/dispatcher/report.go
+++ b/controller/dispatcher/report.go
@@ -84,7 +84,7 @@
 		r.order = 0 // what was sent on an earlier stream has arrived or never will
 	}
 	d.streams[stream] = h
-	d.emit(Note{Event: "AgentAttached", Agent: h.name})
+	d.emit(LogEvent{Event: "AgentAttached", Agent: h.name})
 	return h
 }
 
@@ -96,10 +96,10 @@
 		if h.worker != nil {
 			h.settled = false // until the agent has fenced off what was meant for the former life
 		}
-		d.emit(Note{Event: "WorkerSeen", Agent: h.name, Detail: worker.ID})
+		d.emit(LogEvent{Event: "WorkerSeen", Agent: h.name, Detail: worker.ID})
 	}
 	if h.worker != nil && !h.worker.Draining && worker.Draining {
-		d.emit(Note{Event: "WorkerDraining", Agent: h.name, Detail: worker.ID})
+		d.emit(LogEvent{Event: "WorkerDraining", Agent: h.name, Detail: worker.ID})
 	}
 	h.worker = worker
 }
@@ -111,7 +111,7 @@
 	}
 	delete(d.streams, stream)
 	h.stream, h.listed = 0, false
-	d.emit(Note{Event: "AgentDetached", Agent: h.name, Age: d.now.Sub(h.renewed)})
+	d.emit(LogEvent{Event: "AgentDetached", Agent: h.name, Age: d.now.Sub(h.renewed)})
 }
 
 // expireHolder gives up an agent whose grant has ended: nothing runs at its worker any more.
@@ -128,7 +128,7 @@
 		d.wake(d.gather.Add(d.Settings.GrantMargin), timer{holder: h})
 		return
 	}
-	d.emit(Note{Event: "AgentLost", Agent: h.name, Age: d.now.Sub(h.renewed), Left: len(h.runs)})
+	d.emit(LogEvent{Event: "AgentLost", Agent: h.name, Age: d.now.Sub(h.renewed), Left: len(h.runs)})
 	for _, r := range h.sorted() {
 		d.lose(r, specifier.EndLapsed)
 	}
@@ -215,7 +215,7 @@
 	if t == nil || t.run != r || t.state != taskPlaced {
 		return
 	}
-	d.emit(Note{Event: "TaskLost", Job: t.job.ID, Task: t.name, Run: r.key.Run, Agent: r.holder.name, Detail: how.String(), Age: d.now.Sub(r.began)})
+	d.emit(LogEvent{Event: "TaskLost", Job: t.job.ID, Task: t.name, Run: r.key.Run, Agent: r.holder.name, Detail: how.String(), Age: d.now.Sub(r.began)})
 	d.enqueue(t)
 }
 
--- a/controller/server/performqueue.go
+++ b/controller/server/performqueue.go
@@ -13,13 +13,13 @@
 		c.queues.calls.put(action.Stream, &encoder.QueueReplies{Items: []*encoder.QueueReply{reply}})
 	case dispatcher.Order:
 		c.queues.attends.put(action.Stream, encoder.EncodeLeaseOrder(action.Order))
-	case dispatcher.Note:
+	case dispatcher.LogEvent:
 		c.logNote(action)
 	}
 }
 
 // logNote writes one line for a decision. Fields that do not apply are left out.
-func (c *Controller) logNote(note dispatcher.Note) {
+func (c *Controller) logNote(note dispatcher.LogEvent) {
 	if c.Noted != nil {
 		c.Noted(note)
 	}
--- a/local/simulator/fakeleader_test.go
+++ b/local/simulator/fakeleader_test.go
@@ -48,7 +48,7 @@
 			for _, caller := range w.jobs {
 				caller.reply(l, action)
 			}
-		case dispatcher.Note:
+		case dispatcher.LogEvent:
 			w.tell("controller %d: %s job=%s task=%s run=%d agent=%s %s", l.index, action.Event, action.Job, action.Task, action.Run, action.Agent, action.Detail)
 		}
 	}
