--- a/controller/dispatcher/dispatcher.go
+++ b/controller/dispatcher/dispatcher.go
@@ -57,7 +57,7 @@
 		d.reset()
 	case Applied:
 		d.apply(event.Command)
-	case Dropped:
+	case Rejected:
 		d.dropped(event.Command)
 	case CallReceived:
 		d.called(event)
--- a/controller/dispatcher/end_test.go
+++ b/controller/dispatcher/end_test.go
@@ -36,7 +36,7 @@
 	key := b.starts()[0].Key
 	proposed := find[Propose](b.reportEnd(1, key, specifier.EndDone))
 	must.SliceLen(t, 1, proposed)
-	must.SliceEmpty(t, find[Propose](b.d.Step(b.now, Dropped(proposed[0]))))
+	must.SliceEmpty(t, find[Propose](b.d.Step(b.now, Rejected(proposed[0]))))
 	b.leading = false
 	b.advance(recordAgain)
 	must.SliceEmpty(t, find[Propose](b.actions))
--- a/controller/driver/queues.go
+++ b/controller/driver/queues.go
@@ -43,7 +43,7 @@
 func (d *Driver) queueRefused(now time.Time, ticket replicator.Ticket) {
 	command := d.queued[ticket]
 	delete(d.queued, ticket)
-	d.queue(now, d.Dispatcher.Step(now, dispatcher.Dropped{Command: command}))
+	d.queue(now, d.Dispatcher.Step(now, dispatcher.Rejected{Command: command}))
 }
 
 // open reports whether enough controllers hold the log.
--- a/local/simulator/fakeleader_test.go
+++ b/local/simulator/fakeleader_test.go
@@ -29,7 +29,7 @@
 			if w.fault(refusedCommands) {
 				w.after(0, func() {
 					if w.leading == l.index && l.term == term {
-						l.step(dispatcher.Dropped(action))
+						l.step(dispatcher.Rejected(action))
 					}
 				})
 				continue
