--- a/controller/dispatcher/call.go
+++ b/controller/dispatcher/call.go
@@ -32,11 +32,11 @@
 		d.get(from)
 		return
 	}
-	if d.Keeper.Manifest().Version == 0 {
+	if d.Recorder.Manifest().Version == 0 {
 		d.reply(from, specifier.QueueReply{Result: specifier.QueueRefused, RetryAfter: time.Second, Detail: "there is no manifest yet"})
 		return
 	}
-	queue, id, found := d.Keeper.Manifest().Find(event.Call.Host, event.Call.Path)
+	queue, id, found := d.Recorder.Manifest().Find(event.Call.Host, event.Call.Path)
 	if !found {
 		d.reply(from, specifier.QueueReply{Result: specifier.QueueUnknown, Detail: "no such queue"})
 		return
@@ -59,7 +59,7 @@
 		d.reply(from, specifier.QueueReply{Result: specifier.QueueInvalid, Detail: "the manifest has no version or is too large"})
 		return
 	}
-	if manifest.Version <= d.Keeper.Manifest().Version {
+	if manifest.Version <= d.Recorder.Manifest().Version {
 		d.reply(from, specifier.QueueReply{Result: specifier.QueueOK})
 		return
 	}
@@ -68,7 +68,7 @@
 }
 
 func (d *Dispatcher) get(from waiter) {
-	manifest := d.Keeper.Manifest()
+	manifest := d.Recorder.Manifest()
 	if manifest.Version == 0 {
 		d.reply(from, specifier.QueueReply{Result: specifier.QueueUnavailable, Detail: "there is no manifest yet"})
 		return
@@ -88,7 +88,7 @@
 		d.reply(from, specifier.QueueReply{Result: specifier.QueueOK, Pending: pending, Counted: true})
 		return
 	}
-	record := d.Keeper.Job(id)
+	record := d.Recorder.Job(id)
 	if record == nil || record.Job.Queue != queue.Name {
 		d.reply(from, specifier.QueueReply{Result: specifier.JobGone, Detail: "no such job"})
 		return
@@ -116,7 +116,7 @@
 
 // cancel records the cancellation; the reply follows when it is recorded.
 func (d *Dispatcher) cancel(from waiter, queue specifier.Queue, id string) {
-	record, j := d.Keeper.Job(id), d.jobs[id]
+	record, j := d.Recorder.Job(id), d.jobs[id]
 	known := record != nil && record.Job.Queue == queue.Name || j != nil && j.Queue == queue.Name
 	switch {
 	case !known:
--- a/controller/dispatcher/commit.go
+++ b/controller/dispatcher/commit.go
@@ -9,7 +9,7 @@
 
 // apply applies a committed command, and answers for it when this controller leads.
 func (d *Dispatcher) apply(command specifier.QueueCommand) {
-	d.Keeper.Apply(command)
+	d.Recorder.Apply(command)
 	if !d.leading {
 		return
 	}
@@ -36,13 +36,13 @@
 }
 
 func (d *Dispatcher) manifestChanged(manifest *specifier.Manifest) {
-	d.emit(LogEvent{Event: "ManifestInForce", Left: int(d.Keeper.Manifest().Version)})
+	d.emit(LogEvent{Event: "ManifestInForce", Left: int(d.Recorder.Manifest().Version)})
 	for _, from := range d.puts[manifest.Version] {
 		d.reply(from, specifier.QueueReply{Result: specifier.QueueOK})
 	}
 	delete(d.puts, manifest.Version)
 	for _, j := range d.jobs {
-		if queue, known := d.Keeper.Manifest().Named(j.Queue); known {
+		if queue, known := d.Recorder.Manifest().Named(j.Queue); known {
 			j.queue = queue
 		}
 	}
@@ -88,7 +88,7 @@
 	if t == nil || t.state == taskDone {
 		return
 	}
-	record := d.Keeper.Job(end.Job)
+	record := d.Recorder.Job(end.Job)
 	t.recording = slices.DeleteFunc(t.recording, func(run uint64) bool { return run == end.Run })
 	switch {
 	case end.How == specifier.EndDone:
--- a/controller/dispatcher/dispatcher.go
+++ b/controller/dispatcher/dispatcher.go
@@ -11,7 +11,7 @@
 // Dispatcher is the volatile state of the leading controller and, on every controller, the replicated state of the
 // queues. Exported fields are set before the first Step.
 type Dispatcher struct {
-	Keeper   *jobrecorder.Recorder
+	Recorder *jobrecorder.Recorder
 	Settings Settings
 	// Leading reports whether this controller may answer as leader.
 	Leading func(now time.Time) bool
--- a/controller/dispatcher/end.go
+++ b/controller/dispatcher/end.go
@@ -23,7 +23,7 @@
 	}
 	t := d.task(end.Key.Task)
 	if t == nil {
-		if d.Keeper.Job(jobOf(end.Key.Task)) == nil && end.How == specifier.EndDone {
+		if d.Recorder.Job(jobOf(end.Key.Task)) == nil && end.How == specifier.EndDone {
 			d.finished[end.Key.Task] = end
 			d.forgetFinished()
 		}
@@ -76,7 +76,7 @@
 		r.task = nil
 	}
 	recording := specifier.TaskEnd{Job: t.job.ID, Step: t.step, Index: t.index, Run: end.Key.Run, How: end.How}
-	if known := d.Keeper.Job(t.job.ID); known == nil || !known.Counts(recording) {
+	if known := d.Recorder.Job(t.job.ID); known == nil || !known.Counts(recording) {
 		if t.run == r && t.state == taskPlaced {
 			d.enqueue(t)
 		}
--- a/controller/dispatcher/end_test.go
+++ b/controller/dispatcher/end_test.go
@@ -46,7 +46,7 @@
 	must.SliceLen(t, 1, again)
 	must.Eq(t, proposed[0].Command.Ends, again[0].Command.Ends)
 	must.Eq(t, 1, noted(b.d.Step(b.now, Applied(again[0]))))
-	must.Eq(t, specifier.JobCompleted, b.d.Keeper.Job("a").State)
+	must.Eq(t, specifier.JobCompleted, b.d.Recorder.Job("a").State)
 }
 
 func TestTwoEndsOfOneTask(t *testing.T) {
@@ -75,7 +75,7 @@
 		})
 		must.SliceEmpty(t, find[Propose](b.actions))
 		must.Eq(t, 1, noted(b.actions))
-		must.Eq(t, 1, b.d.Keeper.Job("a").Failures(0, 0))
+		must.Eq(t, 1, b.d.Recorder.Job("a").Failures(0, 0))
 	})
 	t.Run("a failure of a run that was replaced", func(t *testing.T) { // guards against an attempt beyond the limit of the queue
 		b := newDesk(t, 1)
@@ -88,7 +88,7 @@
 		b.recordEnd(key, specifier.EndFailed)
 		must.SliceLen(t, 1, find[Propose](b.reportEnd(2, again[0].Key, specifier.EndFailed)))
 		b.actions = b.recordEnd(again[0].Key, specifier.EndFailed)
-		must.Eq(t, specifier.JobFailed, b.d.Keeper.Job("a").State)
+		must.Eq(t, specifier.JobFailed, b.d.Recorder.Job("a").State)
 		must.SliceEmpty(t, b.starts())
 	})
 }
--- a/controller/dispatcher/leadership.go
+++ b/controller/dispatcher/leadership.go
@@ -29,14 +29,14 @@
 func (d *Dispatcher) lead(term uint64) {
 	d.reset()
 	d.leading, d.term, d.advanced = true, term, d.now
-	d.emit(LogEvent{Event: "QueuesLed", Left: len(d.Keeper.Roster())})
-	if len(d.Keeper.Roster()) > 0 {
+	d.emit(LogEvent{Event: "QueuesLed", Left: len(d.Recorder.Roster())})
+	if len(d.Recorder.Roster()) > 0 {
 		d.gather = d.now.Add(d.Settings.GrantSpan + d.Settings.GrantMargin)
 		d.wake(d.gather, timer{})
 	}
-	for _, id := range d.Keeper.Open() {
-		record := d.Keeper.Job(id)
-		queue, _ := d.Keeper.Manifest().Named(record.Job.Queue)
+	for _, id := range d.Recorder.Open() {
+		record := d.Recorder.Job(id)
+		queue, _ := d.Recorder.Manifest().Named(record.Job.Queue)
 		j := newJob(record.Job, queue, d.now)
 		j.recorded = true
 		j.started = record.State == specifier.JobRunning
@@ -66,7 +66,7 @@
 		return
 	}
 	late := !d.now.Before(d.gather)
-	for _, name := range d.Keeper.Roster() {
+	for _, name := range d.Recorder.Roster() {
 		h := d.holders[name]
 		if h != nil && h.listed && h.settled {
 			continue
--- a/controller/dispatcher/placement.go
+++ b/controller/dispatcher/placement.go
@@ -34,7 +34,7 @@
 // usable reports whether tasks may be started at the worker.
 func (d *Dispatcher) usable(h *holder) bool {
 	return h.stream != 0 && h.worker != nil && h.listed && h.settled && !h.leaving && !h.worker.Draining && !d.now.Before(h.restUntil) &&
-		d.now.Before(h.renewed.Add(d.Settings.GrantSpan/2)) && d.Keeper.Enrolled(h.name)
+		d.now.Before(h.renewed.Add(d.Settings.GrantSpan/2)) && d.Recorder.Enrolled(h.name)
 }
 
 // place starts the tasks that fit, in order.
--- a/controller/dispatcher/report.go
+++ b/controller/dispatcher/report.go
@@ -48,7 +48,7 @@
 		return
 	}
 	wanted := h.worker != nil && !h.worker.Draining && !h.leaving
-	switch enrolled := d.Keeper.Enrolled(h.name); {
+	switch enrolled := d.Recorder.Enrolled(h.name); {
 	case wanted && !enrolled:
 		h.enrolling = true
 		d.propose(specifier.QueueCommand{Enroll: h.name})
@@ -134,7 +134,7 @@
 	}
 	d.removeHolder(h)
 	delete(d.streams, h.stream)
-	if d.Keeper.Enrolled(h.name) {
+	if d.Recorder.Enrolled(h.name) {
 		d.propose(specifier.QueueCommand{Dismiss: h.name})
 	}
 }
@@ -177,7 +177,7 @@
 		d.adopt(t, r)
 	case t != nil || d.gather.IsZero():
 		// It is done, runs elsewhere or may be started elsewhere at any moment, or its job has ended.
-		if other := d.orphans[r.key.Task]; t == nil && other == nil && d.Keeper.Job(jobOf(r.key.Task)) == nil {
+		if other := d.orphans[r.key.Task]; t == nil && other == nil && d.Recorder.Job(jobOf(r.key.Task)) == nil {
 			d.orphans[r.key.Task] = r
 			d.watchOrphan(r)
 			return
--- a/controller/dispatcher/submit.go
+++ b/controller/dispatcher/submit.go
@@ -18,7 +18,7 @@
 		d.resubmit(from, j, queue)
 		return
 	}
-	if record := d.Keeper.Job(id); record != nil {
+	if record := d.Recorder.Job(id); record != nil {
 		if record.Job.Queue != queue.Name {
 			d.reply(from, specifier.QueueReply{Result: specifier.QueueRefused, Detail: "another queue has a job of this ID"})
 			return
--- a/controller/driver/bench_test.go
+++ b/controller/driver/bench_test.go
@@ -35,7 +35,7 @@
 	node.Settings.SnapshotEvery = 1 << 30
 	state := registrar.New(4_000_000)
 	c := &bench{b: b, now: time.Date(2026, 5, 4, 9, 0, 0, 0, time.UTC), machine: driver.New(node, sequencer.New(state),
-		&dispatcher.Dispatcher{Keeper: jobrecorder.New(time.Minute), Settings: dispatcher.Defaults()})}
+		&dispatcher.Dispatcher{Recorder: jobrecorder.New(time.Minute), Settings: dispatcher.Defaults()})}
 	c.machine.Fault = func(err error) { b.Fatal(err) }
 	c.machine.Sequencer.Lease, c.machine.Sequencer.Leading = time.Hour, node.Leading
 	c.machine.Sequencer.Size = func(command specifier.Command) (int, error) { return proto.Size(encoder.EncodeCommand(command)), nil }
--- a/controller/driver/driver.go
+++ b/controller/driver/driver.go
@@ -203,7 +203,7 @@
 			}
 			d.out = append(d.out, Action{Log: action})
 		case replicator.SaveSnapshot:
-			d.out = append(d.out, Action{Log: action, Image: &Image{Queues: d.Dispatcher.Keeper.Image(), Registry: d.Sequencer.Registrar.Image()}})
+			d.out = append(d.out, Action{Log: action, Image: &Image{Queues: d.Dispatcher.Recorder.Image(), Registry: d.Sequencer.Registrar.Image()}})
 		case replicator.Restore:
 			d.restore(action)
 		default:
@@ -251,13 +251,13 @@
 // read it with the data folder.
 func (d *Driver) restore(action replicator.Restore) {
 	if content, ok := d.offered[action.Snapshot.Index]; ok {
-		queues, state, err := DecodeImage(content, d.Dispatcher.Keeper.Retention)
+		queues, state, err := DecodeImage(content, d.Dispatcher.Recorder.Retention)
 		if err != nil {
 			d.Fault(errors.Wrapf(err, "driver: decode the snapshot at %d", action.Snapshot.Index))
 			return
 		}
 		d.Sequencer.Restored(state)
-		d.Dispatcher.Keeper = queues
+		d.Dispatcher.Recorder = queues
 		d.remember()
 	}
 	d.out = append(d.out, Action{Log: action})
--- a/controller/server/controller.go
+++ b/controller/server/controller.go
@@ -224,7 +224,7 @@
 	}
 	control := sequencer.New(state)
 	control.Lease, control.MaxBatch, control.MaxSubmissions = c.MemberLease, c.MaxBatch, c.MaxSubmissions
-	machine := driver.New(node, control, &dispatcher.Dispatcher{Keeper: queues, Settings: c.Queues})
+	machine := driver.New(node, control, &dispatcher.Dispatcher{Recorder: queues, Settings: c.Queues})
 	machine.Fault, machine.Zone = c.fail, c.Zone
 	machine.MinVoters, machine.DeadAfter = c.MinVoters, c.DeadAfter
 	for _, peer := range c.Peers {
--- a/local/simulator/world_test.go
+++ b/local/simulator/world_test.go
@@ -56,7 +56,7 @@
 		faults: true, leading: -1, running: make(map[string]*workerRun), noted: make(map[string]bool), started: make(map[string]bool)}
 	for i := range controllers {
 		l := &fakeLeader{world: w, index: i}
-		l.machine = &dispatcher.Dispatcher{Keeper: jobrecorder.New(time.Minute), Settings: dispatcher.Defaults(),
+		l.machine = &dispatcher.Dispatcher{Recorder: jobrecorder.New(time.Minute), Settings: dispatcher.Defaults(),
 			Leading: func(time.Time) bool { return w.leading == l.index }, Open: func() bool { return true }}
 		w.leaders = append(w.leaders, l)
 	}
@@ -177,7 +177,7 @@
 		caller.check()
 	}
 	if at := slices.IndexFunc(w.leaders, func(l *fakeLeader) bool { return l.index == w.leading }); at >= 0 {
-		for _, id := range w.leaders[at].machine.Keeper.Open() {
+		for _, id := range w.leaders[at].machine.Recorder.Open() {
 			w.broken("job %s was kept and has not ended %v after the last fault", id, settleTime)
 		}
 	}
