--- a/controller/dispatcher/bench_test.go
+++ b/controller/dispatcher/bench_test.go
@@ -15,7 +15,7 @@
 	for _, workers := range []int{64, 940} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
 			now := time.Unix(1000, 0)
-			d := &Dispatcher{Recorder: jobrecorder.New(time.Minute), Settings: Defaults(), Leading: func(time.Time) bool { return true }, Open: func() bool { return true }}
+			d := &Dispatcher{Recorder: jobrecorder.New(time.Minute), Settings: Defaults(), Leading: func(time.Time) bool { return true }, EnoughVoters: func() bool { return true }}
 			step := func(event Event) []Action { return d.Step(now, event) }
 			step(BecameLeader{Term: 1})
 			step(Applied{specifier.QueueCommand{Manifest: &specifier.Manifest{Version: 1, Queues: []specifier.Queue{
--- a/controller/dispatcher/call.go
+++ b/controller/dispatcher/call.go
@@ -20,7 +20,7 @@
 		d.abandon(from)
 		return
 	}
-	if !d.leading || !d.Leading(d.now) || !d.Open() {
+	if !d.leading || !d.Leading(d.now) || !d.EnoughVoters() {
 		d.reply(from, unavailable)
 		return
 	}
--- a/controller/dispatcher/desk_test.go
+++ b/controller/dispatcher/desk_test.go
@@ -27,7 +27,7 @@
 
 func newDesk(t *testing.T, agents int) *desk {
 	b := &desk{t: t, now: time.Unix(1000, 0), leading: true, estimate: 100 * time.Millisecond}
-	b.d = &Dispatcher{Recorder: jobrecorder.New(time.Minute), Settings: Defaults(), Leading: func(time.Time) bool { return b.leading }, Open: func() bool { return true }}
+	b.d = &Dispatcher{Recorder: jobrecorder.New(time.Minute), Settings: Defaults(), Leading: func(time.Time) bool { return b.leading }, EnoughVoters: func() bool { return true }}
 	b.step(BecameLeader{Term: 1})
 	b.step(Applied{specifier.QueueCommand{Manifest: &specifier.Manifest{Version: 1, Queues: []specifier.Queue{
 		{Name: "q", Host: "h", Prefix: "/q/", Pool: "p", MaxAttempts: 2, Stretch: 1.6, Target: 60 * time.Millisecond}}}}})
--- a/controller/dispatcher/dispatcher.go
+++ b/controller/dispatcher/dispatcher.go
@@ -15,8 +15,8 @@
 	Settings Settings
 	// Leading reports whether this controller may answer as leader.
 	Leading func(now time.Time) bool
-	// Open reports whether enough controllers hold the log for changes to be accepted.
-	Open func() bool
+	// EnoughVoters reports whether enough controllers hold the log for changes to be accepted.
+	EnoughVoters func() bool
 
 	now      time.Time
 	actions  []Action
--- a/controller/driver/new.go
+++ b/controller/driver/new.go
@@ -15,6 +15,6 @@
 		control.MaxBatch = specifier.MaxBatch
 	}
 	d := &Driver{Node: node, Sequencer: control, Dispatcher: queues}
-	queues.Leading, queues.Open = node.Leading, d.open
+	queues.Leading, queues.EnoughVoters = node.Leading, d.enoughVoters
 	return d
 }
--- a/controller/driver/queues.go
+++ b/controller/driver/queues.go
@@ -46,8 +46,8 @@
 	d.queue(now, d.Dispatcher.Step(now, dispatcher.Rejected{Command: command}))
 }
 
-// open reports whether enough controllers hold the log.
-func (d *Driver) open() bool {
+// enoughVoters reports whether enough controllers hold the log.
+func (d *Driver) enoughVoters() bool {
 	voters := 0
 	for _, server := range d.servers {
 		if server.Voter {
--- a/local/simulator/world_test.go
+++ b/local/simulator/world_test.go
@@ -57,7 +57,7 @@
 	for i := range controllers {
 		l := &fakeLeader{world: w, index: i}
 		l.machine = &dispatcher.Dispatcher{Recorder: jobrecorder.New(time.Minute), Settings: dispatcher.Defaults(),
-			Leading: func(time.Time) bool { return w.leading == l.index }, Open: func() bool { return true }}
+			Leading: func(time.Time) bool { return w.leading == l.index }, EnoughVoters: func() bool { return true }}
 		w.leaders = append(w.leaders, l)
 	}
 	for i := range agents {
