--- a/controller/driver/driver.go
+++ b/controller/driver/driver.go
@@ -189,13 +189,13 @@
 			d.out = append(d.out, Action{Log: action})
 		case replicator.BecameLeader:
 			d.leader = netip.AddrPort{}
-			d.control(now, d.Sequencer.Step(now, sequencer.Led{}))
+			d.control(now, d.Sequencer.Step(now, sequencer.BecameLeader{}))
 			d.queue(now, d.Dispatcher.Step(now, dispatcher.BecameLeader{Term: uint64(action.Term)}))
 			d.watchPeers(now)
 			d.out = append(d.out, Action{Log: action})
 		case replicator.BecameFollower:
 			d.leader = d.addrOf(action.Leader)
-			d.control(now, d.Sequencer.Step(now, sequencer.Followed{Leader: d.leader}))
+			d.control(now, d.Sequencer.Step(now, sequencer.BecameFollower{Leader: d.leader}))
 			d.queue(now, d.Dispatcher.Step(now, dispatcher.BecameFollower{}))
 			d.pruneAt = time.Time{}
 			if !action.Leader.IsZero() {
--- /dev/null
+++ b/controller/sequencer/becameleader.go
@@ -0,0 +1,6 @@
+package sequencer
+
+// BecameLeader reports that this controller leads and has applied every earlier entry.
+type BecameLeader struct{}
+
+func (BecameLeader) event() {}
--- a/controller/sequencer/leadership.go
+++ b/controller/sequencer/leadership.go
@@ -28,7 +28,7 @@
 
 // followed answers everything that waits: its outcome is unknown or it had none, and the
 // sender asks the new leader, since every command may be repeated.
-func (s *Sequencer) followed(e Followed) {
+func (s *Sequencer) followed(e BecameFollower) {
 	if s.leads {
 		s.note(recorder.LeaderLost, leaderText(e.Leader), "")
 	}
--- a/controller/sequencer/leases_test.go
+++ b/controller/sequencer/leases_test.go
@@ -24,7 +24,7 @@
 	s := New(state)
 	s.Lease, s.Leading, s.MaxBatch, s.MaxBytes = 3*time.Second, func(time.Time) bool { return true }, 100, 1<<20
 	s.Size = func(specifier.Command) (int, error) { return 1, nil }
-	s.Step(noon, Led{})
+	s.Step(noon, BecameLeader{})
 	return s
 }
 
@@ -64,7 +64,7 @@
 	})
 	t.Run("not leading", func(t *testing.T) {
 		s := newLeader(1)
-		s.Step(noon, Followed{})
+		s.Step(noon, BecameFollower{})
 		must.True(t, s.Next().IsZero())
 		must.SliceEmpty(t, s.Expire(noon.Add(time.Minute)))
 	})
--- a/controller/sequencer/sequencer.go
+++ b/controller/sequencer/sequencer.go
@@ -88,9 +88,9 @@
 		s.rejected(event)
 	case Committed:
 		s.committed(now, event)
-	case Led:
+	case BecameLeader:
 		s.led(now)
-	case Followed:
+	case BecameFollower:
 		s.followed(event)
 	}
 	s.submit(now)
--- a/controller/sequencer/sequencer_test.go
+++ b/controller/sequencer/sequencer_test.go
@@ -32,7 +32,7 @@
 	f.machine.Lease, f.machine.Leading = lease, func(time.Time) bool { return true }
 	f.machine.Size = func(specifier.Command) (int, error) { return 100, nil }
 	f.machine.MaxBatch, f.machine.MaxBytes, f.machine.MaxSubmissions = 4096, 1<<20, 1000
-	f.step(sequencer.Led{})
+	f.step(sequencer.BecameLeader{})
 	return f
 }
 
@@ -121,9 +121,9 @@
 		f := newFixture(t)
 		f.attend(1, member(specifier.Agent, "worker"))
 		f.now = f.now.Add(lease - time.Millisecond)
-		f.step(sequencer.Followed{})
+		f.step(sequencer.BecameFollower{})
 		must.True(t, f.machine.Next().IsZero())
-		f.step(sequencer.Led{})
+		f.step(sequencer.BecameLeader{})
 		must.Eq(t, f.now.Add(lease), f.machine.Next())
 	})
 }
@@ -149,7 +149,7 @@
 	}
 	f.step(sequencer.Logged{Ticket: f.submitted[0].Ticket, Index: 1, Term: 1})
 	leader := netip.MustParseAddrPort("127.0.0.2:7000")
-	f.step(sequencer.Followed{Leader: leader})
+	f.step(sequencer.BecameFollower{Leader: leader})
 	must.Len(t, 10, f.decided)
 	for _, decide := range f.decided {
 		must.Eq(t, specifier.Decision{Verdict: specifier.NotLeader, Leader: leader}, decide.Decision)
