--- a/controller/sequencer/attendance.go
+++ b/controller/sequencer/attendance.go
@@ -8,7 +8,7 @@
 	"oleandertally/core/specifier"
 )
 
-func (s *Sequencer) attended(now time.Time, e Attended) {
+func (s *Sequencer) attended(now time.Time, e HeartbeatReceived) {
 	if !s.leads || !s.Leading(now) {
 		s.out = append(s.out, Push{Stream: e.Stream, Update: specifier.Update{NotLeader: true, Leader: s.leader}})
 		delete(s.attending, e.Stream)
--- a/controller/sequencer/sequencer.go
+++ b/controller/sequencer/sequencer.go
@@ -77,7 +77,7 @@
 	switch event := event.(type) {
 	case Proposed:
 		s.proposed(now, event)
-	case Attended:
+	case HeartbeatReceived:
 		s.attended(now, event)
 	case Closed:
 		delete(s.attending, event.Stream)
--- a/controller/sequencer/sequencer_test.go
+++ b/controller/sequencer/sequencer_test.go
@@ -63,7 +63,7 @@
 }
 
 func (f *fixture) attend(stream sequencer.Stream, member specifier.Member) {
-	f.step(sequencer.Attended{Stream: stream, Heartbeat: specifier.Heartbeat{Member: &member}})
+	f.step(sequencer.HeartbeatReceived{Stream: stream, Heartbeat: specifier.Heartbeat{Member: &member}})
 	f.commit()
 }
 
@@ -104,14 +104,14 @@
 		f.take(f.machine.Expire(f.now))
 		f.commit()
 		mustState(t, f, "worker", specifier.Down)
-		f.step(sequencer.Attended{Stream: 1})
+		f.step(sequencer.HeartbeatReceived{Stream: 1})
 		must.True(t, f.last(1).Expelled)
 	})
 	t.Run("a renewal extends it", func(t *testing.T) {
 		f := newFixture(t)
 		f.attend(1, member(specifier.Agent, "worker"))
 		f.now = f.now.Add(lease - time.Millisecond)
-		f.step(sequencer.Attended{Stream: 1})
+		f.step(sequencer.HeartbeatReceived{Stream: 1})
 		f.now = f.now.Add(time.Millisecond)
 		f.take(f.machine.Expire(f.now))
 		must.SliceEmpty(t, f.submitted)
@@ -205,7 +205,7 @@
 	for range 5 {
 		total, first, second := 0.0, 0.0, 0.0
 		for stream := sequencer.Stream(2); stream <= 4; stream++ {
-			f.step(sequencer.Attended{Stream: stream, Heartbeat: specifier.Heartbeat{Needs: needs}})
+			f.step(sequencer.HeartbeatReceived{Stream: stream, Heartbeat: specifier.Heartbeat{Needs: needs}})
 			must.True(t, len(f.last(stream).Shares) == 1)
 			teams := f.last(stream).Shares[0].Teams
 			first, second = first+teams[0].Slots, second+teams[1].Slots
--- a/controller/server/registry.go
+++ b/controller/server/registry.go
@@ -113,7 +113,7 @@
 					return err
 				}
 			}
-			event := sequencer.Attended{Stream: id, Heartbeat: presence}
+			event := sequencer.HeartbeatReceived{Stream: id, Heartbeat: presence}
 			if err := r.mailbox.Send(ctx, driver.Event{Control: event}); err != nil {
 				return err
 			}
