--- a/controller/sequencer/timeline.go
+++ b/controller/sequencer/timeline.go
@@ -26,7 +26,7 @@
 }
 
 func (s *Sequencer) note(kind recorder.Kind, other, detail string) {
-	s.out = append(s.out, Note{recorder.Event{Kind: kind, Other: other, Detail: detail}})
+	s.out = append(s.out, RecordEvent{recorder.Event{Kind: kind, Other: other, Detail: detail}})
 }
 
 func leaderText(addr netip.AddrPort) string {
--- a/controller/server/perform.go
+++ b/controller/server/perform.go
@@ -30,7 +30,7 @@
 			break
 		}
 		c.registry.propose.put(control.Stream, &encoder.Verdict{Sequence: control.Sequence, Decision: encoder.EncodeDecision(control.Decision)})
-	case sequencer.Note:
+	case sequencer.RecordEvent:
 		c.Events.Add(control.Event)
 	case sequencer.Push:
 		c.registry.attend.put(control.Stream, control.Update)
