--- a/controller/sequencer/sequencer.go
+++ b/controller/sequencer/sequencer.go
@@ -79,7 +79,7 @@
 		s.proposed(now, event)
 	case HeartbeatReceived:
 		s.attended(now, event)
-	case Closed:
+	case StreamClosed:
 		delete(s.attending, event.Stream)
 	case Logged:
 		s.logged[event.Index] = loggedBatch{term: event.Term, requests: s.submitted[event.Ticket]}
--- a/controller/server/registry.go
+++ b/controller/server/registry.go
@@ -126,5 +126,5 @@
 func (r *registry) closed(id sequencer.Stream) {
 	ctx, cancel := context.WithTimeout(context.Background(), closeBound)
 	defer cancel()
-	_ = r.mailbox.Send(ctx, driver.Event{Control: sequencer.Closed{Stream: id}})
+	_ = r.mailbox.Send(ctx, driver.Event{Control: sequencer.StreamClosed{Stream: id}})
 }
