--- a/controller/driver/driver.go
+++ b/controller/driver/driver.go
@@ -256,7 +256,7 @@
 			d.Fault(errors.Wrapf(err, "driver: decode the snapshot at %d", action.Snapshot.Index))
 			return
 		}
-		d.Sequencer.Restored(state)
+		d.Sequencer.Restore(state)
 		d.Dispatcher.Recorder = queues
 		d.remember()
 	}
--- a/controller/sequencer/leadership.go
+++ b/controller/sequencer/leadership.go
@@ -53,8 +53,8 @@
 	clear(s.attending)
 }
 
-// Restored replaces the state by one from a snapshot.
-func (s *Sequencer) Restored(state *registrar.Registrar) {
+// Restore replaces the state by one from a snapshot.
+func (s *Sequencer) Restore(state *registrar.Registrar) {
 	s.Registrar = state
 	s.changes = nil
 	s.complete = state.MemberVersion()
