--- a/controller/driver/driver.go
+++ b/controller/driver/driver.go
@@ -61,8 +61,8 @@
 		d.join(now, *event.Join)
 	case event.Read != nil:
 		d.read(now, *event.Read)
-	case event.HandOver != nil:
-		d.handOver(now, *event.HandOver)
+	case event.TransferLeadership != nil:
+		d.handOver(now, *event.TransferLeadership)
 	case event.Measure != nil:
 		d.measure(now, *event.Measure)
 	default:
--- a/controller/driver/stop.go
+++ b/controller/driver/stop.go
@@ -10,9 +10,9 @@
 const transferTickets = 1 << 61
 
 // handOver starts the transfer of the leadership. The answer follows when the log has a new role.
-func (d *Driver) handOver(now time.Time, request HandOver) {
+func (d *Driver) handOver(now time.Time, request TransferLeadership) {
 	if d.Node.Role() != replicator.Leader {
-		d.out = append(d.out, Action{HandedOver: &HandedOver{Ticket: request.Ticket}})
+		d.out = append(d.out, Action{LeadershipTransferred: &LeadershipTransferred{Ticket: request.Ticket}})
 		return
 	}
 	d.leaving = append(d.leaving, request.Ticket)
@@ -22,7 +22,7 @@
 // handedOver answers every request to hand over.
 func (d *Driver) handedOver(detail string) {
 	for _, ticket := range d.leaving {
-		d.out = append(d.out, Action{HandedOver: &HandedOver{Ticket: ticket, Detail: detail}})
+		d.out = append(d.out, Action{LeadershipTransferred: &LeadershipTransferred{Ticket: ticket, Detail: detail}})
 	}
 	d.leaving = nil
 }
--- a/controller/server/controller.go
+++ b/controller/server/controller.go
@@ -73,7 +73,7 @@
 	peers         *peers
 	joins         *calls[driver.JoinAnswered]
 	operators     *operators
-	handOvers     *calls[driver.HandedOver]
+	handOvers     *calls[driver.LeadershipTransferred]
 	measures      *calls[driver.Measured]
 	fault         chan error
 	ended         chan struct{} // closed when Run has returned
@@ -135,7 +135,7 @@
 		c.Clock = time.Now
 	}
 	c.joins = &calls[driver.JoinAnswered]{mailbox: c.mailbox}
-	c.handOvers = &calls[driver.HandedOver]{mailbox: c.mailbox}
+	c.handOvers = &calls[driver.LeadershipTransferred]{mailbox: c.mailbox}
 	c.measures = &calls[driver.Measured]{mailbox: c.mailbox}
 	c.operators = &operators{decisions: calls[specifier.Decision]{mailbox: c.mailbox}, reads: calls[driver.ReadAnswered]{mailbox: c.mailbox}}
 	c.fault, c.ended = make(chan error, 1), make(chan struct{})
--- a/controller/server/perform.go
+++ b/controller/server/perform.go
@@ -14,8 +14,8 @@
 		c.joins.answer(uint64(action.Joined.Ticket), *action.Joined)
 	case action.Read != nil:
 		c.operators.reads.answer(action.Read.Ticket, *action.Read)
-	case action.HandedOver != nil:
-		c.handOvers.answer(action.HandedOver.Ticket, *action.HandedOver)
+	case action.LeadershipTransferred != nil:
+		c.handOvers.answer(action.LeadershipTransferred.Ticket, *action.LeadershipTransferred)
 	case action.Measured != nil:
 		c.measures.answer(action.Measured.Ticket, *action.Measured)
 	case action.Batched > 0:
--- a/controller/server/stop.go
+++ b/controller/server/stop.go
@@ -45,10 +45,10 @@
 
 // handOverOnce gives up after two election timeouts: a transfer to a voter that does not catch up within one
 // has ended without an answer.
-func (c *Controller) handOverOnce(ctx context.Context) (driver.HandedOver, error) {
+func (c *Controller) handOverOnce(ctx context.Context) (driver.LeadershipTransferred, error) {
 	ctx, cancel := context.WithTimeout(ctx, max(2*c.Consensus.ElectionTimeout, time.Second))
 	defer cancel()
 	return c.handOvers.ask(ctx, func(ticket uint64) driver.Event {
-		return driver.Event{HandOver: &driver.HandOver{Ticket: ticket}}
+		return driver.Event{TransferLeadership: &driver.TransferLeadership{Ticket: ticket}}
 	})
 }
