--- a/controller/dispatcher/call.go
+++ b/controller/dispatcher/call.go
@@ -151,7 +151,7 @@
 	if j.Transient && len(j.waiters) == 0 && !j.ended {
 		j.forgetAt = d.now.Add(d.Settings.KeepAfter)
 		d.wake(j.forgetAt, timer{job: j})
-		d.emit(LogEvent{Event: "JobAbandoned", Job: j.ID, Queue: j.Queue, Age: d.now.Sub(j.arrived), Left: j.left})
+		d.emit(LogEvent{Event: "JobAbandoned", Job: j.ID, Queue: j.Queue, Age: d.now.Sub(j.arrived), Count: j.left})
 	}
 }
 
--- a/controller/dispatcher/commit.go
+++ b/controller/dispatcher/commit.go
@@ -36,7 +36,7 @@
 }
 
 func (d *Dispatcher) manifestChanged(manifest *specifier.Manifest) {
-	d.emit(LogEvent{Event: "ManifestInForce", Left: int(d.Recorder.Manifest().Version)})
+	d.emit(LogEvent{Event: "ManifestInForce", Count: int(d.Recorder.Manifest().Version)})
 	for _, from := range d.puts[manifest.Version] {
 		d.reply(from, specifier.QueueReply{Result: specifier.QueueOK})
 	}
--- a/controller/dispatcher/leadership.go
+++ b/controller/dispatcher/leadership.go
@@ -29,7 +29,7 @@
 func (d *Dispatcher) lead(term uint64) {
 	d.reset()
 	d.leading, d.term, d.advanced = true, term, d.now
-	d.emit(LogEvent{Event: "QueuesLed", Left: len(d.Recorder.Roster())})
+	d.emit(LogEvent{Event: "QueuesLed", Count: len(d.Recorder.Roster())})
 	if len(d.Recorder.Roster()) > 0 {
 		d.gather = d.now.Add(d.Settings.GrantSpan + d.Settings.GrantMargin)
 		d.wake(d.gather, timer{})
@@ -79,7 +79,7 @@
 		}
 	}
 	d.gather = time.Time{}
-	d.emit(LogEvent{Event: "AgentsListed", Left: len(d.holders)})
+	d.emit(LogEvent{Event: "AgentsListed", Count: len(d.holders)})
 	for _, name := range slices.Sorted(maps.Keys(d.orphans)) {
 		d.watchOrphan(d.orphans[name])
 	}
--- a/controller/dispatcher/logevent.go
+++ b/controller/dispatcher/logevent.go
@@ -12,5 +12,5 @@
 	Queue  string
 	Detail string
 	Age    time.Duration // of the input that decided: since the job arrived, or since the agent's last renewal
-	Left   int           // tasks of the job that are not done
+	Count  int           // tasks of the job that are not done
 }
--- a/controller/dispatcher/report.go
+++ b/controller/dispatcher/report.go
@@ -128,7 +128,7 @@
 		d.wake(d.gather.Add(d.Settings.GrantMargin), timer{holder: h})
 		return
 	}
-	d.emit(LogEvent{Event: "AgentLost", Agent: h.name, Age: d.now.Sub(h.renewed), Left: len(h.runs)})
+	d.emit(LogEvent{Event: "AgentLost", Agent: h.name, Age: d.now.Sub(h.renewed), Count: len(h.runs)})
 	for _, r := range h.sorted() {
 		d.lose(r, specifier.EndLapsed)
 	}
--- a/controller/dispatcher/submit.go
+++ b/controller/dispatcher/submit.go
@@ -27,14 +27,14 @@
 		return
 	}
 	if reply, refused := d.refusal(definition, queue); refused {
-		d.emit(LogEvent{Event: "JobRefused", Job: id, Queue: queue.Name, Detail: reply.Detail, Left: d.waiting})
+		d.emit(LogEvent{Event: "JobRefused", Job: id, Queue: queue.Name, Detail: reply.Detail, Count: d.waiting})
 		d.reply(from, reply)
 		return
 	}
 	j := newJob(definition, queue, d.now.Add(-call.Age))
 	d.jobs[id] = j
 	d.join(from, j)
-	d.emit(LogEvent{Event: "JobArrived", Job: id, Queue: queue.Name, Left: j.left, Age: j.ideal})
+	d.emit(LogEvent{Event: "JobArrived", Job: id, Queue: queue.Name, Count: j.left, Age: j.ideal})
 	if !definition.Transient {
 		d.propose(specifier.QueueCommand{Accept: &definition})
 		return
@@ -60,7 +60,7 @@
 	case j.recorded:
 		d.reply(from, specifier.QueueReply{Result: specifier.QueueOK, State: specifier.JobQueued})
 	default:
-		d.emit(LogEvent{Event: "JobResubmitted", Job: j.ID, Queue: j.Queue, Age: d.now.Sub(j.arrived), Left: j.left})
+		d.emit(LogEvent{Event: "JobResubmitted", Job: j.ID, Queue: j.Queue, Age: d.now.Sub(j.arrived), Count: j.left})
 		d.join(from, j)
 		d.release(j)
 	}
@@ -133,7 +133,7 @@
 		delete(d.calls, from)
 		d.reply(from, outcome)
 	}
-	d.emit(LogEvent{Event: "JobEnded", Job: j.ID, Queue: j.Queue, Age: d.now.Sub(j.arrived), Left: j.left, Detail: outcomeName(outcome)})
+	d.emit(LogEvent{Event: "JobEnded", Job: j.ID, Queue: j.Queue, Age: d.now.Sub(j.arrived), Count: j.left, Detail: outcomeName(outcome)})
 	for _, watching := range j.watchers {
 		d.reply(watching.from, outcome)
 	}
--- a/controller/server/performqueue.go
+++ b/controller/server/performqueue.go
@@ -35,5 +35,5 @@
 	if note.Age != 0 {
 		line = line.Dur("AgeMillis", note.Age)
 	}
-	line.Int("Left", note.Left).Send()
+	line.Int("Left", note.Count).Send()
 }
