--- a/controller/driver/driver.go
+++ b/controller/driver/driver.go
@@ -27,14 +27,14 @@
 	// Fault is called with an error that the controller can't go on after: a committed batch or
 	// a snapshot that can't be decoded.
 	Fault func(error)
-	// Names are the controllers that may join; nil for any.
-	Names []string
+	// AllowedNames are the controllers that may join; nil for any.
+	AllowedNames []string
 	// MinVoters is how many controllers must hold the log before queues take anything in, so that what is acknowledged
 	// survives the losses that the site is built for.
 	MinVoters int
-	// DeadAfter is how long a voter may be silent before it is removed while more than MinVoters are left; 0 for never.
-	DeadAfter time.Duration
-	Zone      string // of this controller, for operators
+	// VoterTimeout is how long a voter may be silent before it is removed while more than MinVoters are left; 0 for never.
+	VoterTimeout time.Duration
+	Zone         string // of this controller, for operators
 
 	history    operator.History
 	remembered specifier.Revision  // the newest one in history
@@ -118,7 +118,7 @@
 		d.out = append(d.out, Action{Joined: &answer})
 		return
 	}
-	if d.Names != nil && !slices.Contains(d.Names, request.Server.ID.Name) {
+	if d.AllowedNames != nil && !slices.Contains(d.AllowedNames, request.Server.ID.Name) {
 		answer.Detail = "this name is not in the leader's settings"
 		d.out = append(d.out, Action{Joined: &answer})
 		return
--- a/controller/driver/prune.go
+++ b/controller/driver/prune.go
@@ -15,8 +15,8 @@
 
 // watchPeers begins to look for voters that are gone.
 func (d *Driver) watchPeers(now time.Time) {
-	if d.DeadAfter > 0 {
-		d.pruneAt = now.Add(d.DeadAfter)
+	if d.VoterTimeout > 0 {
+		d.pruneAt = now.Add(d.VoterTimeout)
 	}
 }
 
@@ -36,7 +36,7 @@
 			voters++
 		}
 		silent := slices.ContainsFunc(peers, func(peer replicator.PeerStatus) bool {
-			return peer.ID == server.ID && now.Sub(peer.Heard) > d.DeadAfter
+			return peer.ID == server.ID && now.Sub(peer.Heard) > d.VoterTimeout
 		})
 		if silent && (dead.IsZero() || !server.Voter) {
 			dead, learner = server.ID, !server.Voter
--- a/controller/server/controller.go
+++ b/controller/server/controller.go
@@ -226,10 +226,10 @@
 	control.Lease, control.MaxBatch, control.MaxSubmissions = c.MemberLease, c.MaxBatch, c.MaxSubmissions
 	machine := driver.New(node, control, &dispatcher.Dispatcher{Recorder: queues, Settings: c.Queues})
 	machine.Fault, machine.Zone = c.fail, c.Zone
-	machine.MinVoters, machine.DeadAfter = c.MinVoters, c.DeadAfter
+	machine.MinVoters, machine.VoterTimeout = c.MinVoters, c.DeadAfter
 	for _, peer := range c.Peers {
 		if !c.OpenMembership {
-			machine.Names = append(machine.Names, peer.Name)
+			machine.AllowedNames = append(machine.AllowedNames, peer.Name)
 		}
 	}
 	return machine, nil
