--- a/controller/sequencer/commit.go
+++ b/controller/sequencer/commit.go
@@ -11,28 +11,28 @@
 	revision := s.Registrar.Configuration().Revision
 	version := s.Registrar.MemberVersion()
 	decisions := s.Registrar.Apply(e.Index, e.Batch)
-	s.noteChanges(version, e.Batch)
+	s.trackChanges(version, e.Batch)
 	for i, command := range e.Batch.Commands {
-		s.noteChange(command, decisions[i])
+		s.recordChange(command, decisions[i])
 	}
-	waiting, mine := s.logged[e.Index]
+	batch, own := s.logged[e.Index]
 	delete(s.logged, e.Index)
-	if mine && waiting.term == e.Term {
-		for i, request := range waiting.requests {
+	if own && batch.term == e.Term {
+		for i, request := range batch.requests {
 			s.decided(now, request, decisions[i])
 		}
-	} else if mine {
-		for _, request := range waiting.requests {
+	} else if own {
+		for _, request := range batch.requests {
 			s.refuse(request, specifier.NotLeader)
 		}
 	}
 	if s.leads && (s.Registrar.Configuration().Revision != revision || s.Registrar.MemberVersion() != version) {
-		s.pushAll()
+		s.pushUpdates()
 	}
 }
 
-// noteChanges remembers which members a batch may have changed.
-func (s *Sequencer) noteChanges(before uint64, batch specifier.Batch) {
+// trackChanges adds the members that a batch may have changed to the changes, of which the newest maxChanges are kept.
+func (s *Sequencer) trackChanges(before uint64, batch specifier.Batch) {
 	if s.Registrar.MemberVersion() == before {
 		return
 	}
@@ -49,7 +49,7 @@
 		}
 	}
 	if extra := len(s.changes) - maxChanges; extra > 0 {
-		s.complete = s.changes[extra-1].version
+		s.changesSince = s.changes[extra-1].version
 		s.changes = slices.Delete(s.changes, 0, extra)
 	}
 }
@@ -59,9 +59,9 @@
 	switch {
 	case r.stream == 0:
 	case isJoin && r.sequence == 0:
-		s.joined(now, r.stream, join.Member, d)
+		s.joinDecided(now, r.stream, join.Member, d)
 	default:
-		s.out = append(s.out, Decide{Stream: r.stream, Sequence: r.sequence, Decision: d})
+		s.actions = append(s.actions, Decide{Stream: r.stream, Sequence: r.sequence, Decision: d})
 	}
 }
 
@@ -76,11 +76,11 @@
 	if end, ok := r.command.(specifier.EndMember); ok && r.stream == 0 {
 		delete(s.ending, end.Identity)
 		if until, ok := s.leases[end.Identity]; ok {
-			s.grant(end.Identity, until) // it is due again
+			s.grant(end.Identity, until) // to propose its end again
 		}
 	}
 	if r.stream != 0 && r.sequence != 0 {
-		s.out = append(s.out, Decide{Stream: r.stream, Sequence: r.sequence,
+		s.actions = append(s.actions, Decide{Stream: r.stream, Sequence: r.sequence,
 			Decision: specifier.Decision{Verdict: verdict, Leader: s.leader}})
 	}
 }
--- a/controller/sequencer/heartbeatreceived.go
+++ b/controller/sequencer/heartbeatreceived.go
@@ -2,7 +2,7 @@
 
 import "oleandertally/core/specifier"
 
-// HeartbeatReceived is a heartbeat of the member that attends on a stream.
+// HeartbeatReceived carries a heartbeat of the member on a stream.
 type HeartbeatReceived struct {
 	Stream    Stream
 	Heartbeat specifier.Heartbeat
--- a/controller/sequencer/leadership.go
+++ b/controller/sequencer/leadership.go
@@ -10,14 +10,14 @@
 	"oleandertally/state/registrar"
 )
 
-func (s *Sequencer) led(now time.Time) {
-	s.note(recorder.LeaderElected, "", "")
+func (s *Sequencer) becomeLeader(now time.Time) {
+	s.record(recorder.LeaderElected, "", "")
 	s.leads = true
-	s.advanced = now
+	s.clockAdvancedAt = now
 	clear(s.leases)
 	clear(s.ending)
 	clear(s.lessors)
-	s.expiring.Filter(func(lease) bool { return false })
+	s.expirations.Filter(func(lease) bool { return false })
 	// The former leader's grants are not known here, so every member gets a full lease.
 	for _, member := range s.Registrar.Members() {
 		if member.State != specifier.Down {
@@ -26,11 +26,11 @@
 	}
 }
 
-// followed answers everything that waits: its outcome is unknown or it had none, and the
-// sender asks the new leader, since every command may be repeated.
-func (s *Sequencer) followed(e BecameFollower) {
+// becomeFollower answers all pending requests with NotLeader and ends the sessions. A request's outcome may be unknown, but every
+// command may be repeated, so its sender repeats it to the new leader.
+func (s *Sequencer) becomeFollower(e BecameFollower) {
 	if s.leads {
-		s.note(recorder.LeaderLost, leaderText(e.Leader), "")
+		s.record(recorder.LeaderLost, leaderText(e.Leader), "")
 	}
 	s.leads = false
 	s.leader = e.Leader
@@ -47,15 +47,15 @@
 		s.refuse(request, specifier.NotLeader)
 	}
 	s.waiting = nil
-	for _, stream := range slices.Sorted(maps.Keys(s.attending)) {
-		s.out = append(s.out, Push{Stream: stream, Update: specifier.Update{NotLeader: true, Leader: e.Leader}})
+	for _, stream := range slices.Sorted(maps.Keys(s.sessions)) {
+		s.actions = append(s.actions, Push{Stream: stream, Update: specifier.Update{NotLeader: true, Leader: e.Leader}})
 	}
-	clear(s.attending)
+	clear(s.sessions)
 }
 
-// Restore replaces the state by one from a snapshot.
+// Restore replaces the replicated state with one from a snapshot.
 func (s *Sequencer) Restore(state *registrar.Registrar) {
 	s.Registrar = state
 	s.changes = nil
-	s.complete = state.MemberVersion()
+	s.changesSince = state.MemberVersion()
 }
--- a/controller/sequencer/lease.go
+++ b/controller/sequencer/lease.go
@@ -7,7 +7,7 @@
 	"oleandertally/core/specifier"
 )
 
-// lease is a lease as it was granted. It counts while the map of leases still holds its end.
+// lease is one grant or renewal of a member's lease. It is in force while Sequencer.leases has the same end for the member.
 type lease struct {
 	until    time.Time
 	identity specifier.Identity
--- a/controller/sequencer/leases_test.go
+++ b/controller/sequencer/leases_test.go
@@ -32,7 +32,7 @@
 	return specifier.Identity{Name: fmt.Sprintf("worker-%d", i), Incarnation: 1}
 }
 
-// ended returns the members that the actions end.
+// ended returns the names of the members that the actions propose to end.
 func ended(actions []Action) []string {
 	var names []string
 	for _, action := range actions {
@@ -45,7 +45,8 @@
 	return names
 }
 
-// Guards against a member that is declared down although it renewed, and one that never is.
+// Guards against a member that is declared down although it renewed its lease, and against one that is never declared down
+// because the log rejected its end.
 func TestLeases(t *testing.T) {
 	t.Run("renewed", func(t *testing.T) {
 		s := newLeader(3)
@@ -70,7 +71,7 @@
 	})
 }
 
-// Guards against a step of the log's clock that no replica can decode, and a batch that is larger than a log entry.
+// Guards against an advance of the replicated clock that no replica can decode, and against a batch that is larger than a log entry.
 func TestBatchBounds(t *testing.T) {
 	propose := func(s *Sequencer, now time.Time, sequence uint64) []Action {
 		return s.Step(now, Proposed{Stream: 1, Sequence: sequence, Command: specifier.DrainMember{Name: "worker-0"}})
--- a/controller/sequencer/loggedbatch.go
+++ b/controller/sequencer/loggedbatch.go
@@ -1,6 +1,6 @@
 package sequencer
 
-// loggedBatch is what waits for the log to commit at an index.
+// loggedBatch is the requests of a batch that is in the log and not committed yet.
 type loggedBatch struct {
 	term     uint64
 	requests []request
--- a/controller/sequencer/proposed.go
+++ b/controller/sequencer/proposed.go
@@ -2,7 +2,7 @@
 
 import "oleandertally/core/specifier"
 
-// Proposed is a command that a stream asks for. Sequence comes back with its decision.
+// Proposed carries a command that arrived on a stream. The command's Decide carries the same Sequence.
 type Proposed struct {
 	Stream   Stream
 	Sequence uint64
--- a/controller/sequencer/push.go
+++ b/controller/sequencer/push.go
@@ -2,7 +2,7 @@
 
 import "oleandertally/core/specifier"
 
-// Push sends an update to the member that attends on a stream.
+// Push sends an update to the member on a stream.
 type Push struct {
 	Stream Stream
 	Update specifier.Update
--- a/controller/sequencer/quota.go
+++ b/controller/sequencer/quota.go
@@ -9,18 +9,18 @@
 	"oleandertally/dispatch/limiter"
 )
 
-// shares grants an entry its part of each service's slots, for as long as its lease. The grants of the
-// present leader never exceed the slots; for one lease after a change of the leader the grants of
-// the former one count too, so that up to twice the slots may be promised.
-func (s *Sequencer) shares(now time.Time, who *attendant) []specifier.ServiceShare {
+// shares grants an entry its share of each service's slots, for the duration of its lease. The shares that
+// one leader grants never exceed the slots. For one lease after a change of leader the former leader's
+// shares are still in force, so that up to twice the slots may be granted.
+func (s *Sequencer) shares(now time.Time, sess *session) []specifier.ServiceShare {
 	var granted []specifier.ServiceShare
-	for _, need := range who.needs {
+	for _, need := range sess.needs {
 		lessor := s.lessor(need.Service)
 		wanted := make(map[string]float64, len(need.Teams))
 		for _, team := range need.Teams {
 			wanted[team.Team] = team.Slots
 		}
-		lease := lessor.Renew(now, who.member.Name, wanted)
+		lease := lessor.Renew(now, sess.member.Name, wanted)
 		share := specifier.ServiceShare{Service: need.Service, Contended: lease.Contended}
 		for _, team := range slices.Sorted(maps.Keys(lease.Slots)) {
 			share.Teams = append(share.Teams, specifier.TeamSlots{Team: team, Slots: lease.Slots[team]})
@@ -30,7 +30,7 @@
 	return granted
 }
 
-// lessor returns the division of a service's slots, with the slots and the teams of now.
+// lessor returns the lessor of a service's slots, updated to the present slots and teams.
 func (s *Sequencer) lessor(service string) *limiter.Lessor[string] {
 	if s.lessors[service] == nil {
 		s.lessors[service] = &limiter.Lessor[string]{Term: s.Lease}
--- a/controller/sequencer/recordevent.go
+++ b/controller/sequencer/recordevent.go
@@ -2,7 +2,7 @@
 
 import "oleandertally/core/recorder"
 
-// RecordEvent records an event of the time line.
+// RecordEvent adds an event to the time line.
 type RecordEvent struct {
 	Event recorder.Event
 }
--- a/controller/sequencer/request.go
+++ b/controller/sequencer/request.go
@@ -2,7 +2,7 @@
 
 import "oleandertally/core/specifier"
 
-// request is a command on its way through the log. A command of the controller's own has no stream.
+// request is a command that waits for the log or is in it. The controller's own commands have stream 0.
 type request struct {
 	stream   Stream
 	sequence uint64
--- a/controller/sequencer/sequencer.go
+++ b/controller/sequencer/sequencer.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// maxInFlight is how many batches may be in the log and not committed; commands that come
+	// maxInFlight is how many batches may be in the log and not committed; commands that arrive
 	// meanwhile share the next batch. The disk shares syncs among batches, so a low bound only
 	// makes commands wait for a commit: with 4 the median acceptance took a third longer than with 64.
 	maxInFlight = 64
 	// maxWaiting bounds the commands that wait for a batch; more are refused as Full.
 	maxWaiting = 100_000
-	// maxChanges is how many changes of the membership are kept for updates; a member that is
+	// maxChanges is how many changes of the membership are kept for updates; an entry that is
 	// further behind gets the whole membership.
 	maxChanges = 4096
 )
@@ -28,59 +28,59 @@
 // Sequencer is the control state of a controller beside its log. Exported fields are set before
 // the first Step.
 type Sequencer struct {
-	Lease     time.Duration // of entries and agents
+	Lease     time.Duration // duration of the leases of entries and agents
 	Leading   func(now time.Time) bool
 	Registrar *registrar.Registrar
-	// Size returns the encoded size of a command, or an error for one that can't be decoded again: in
-	// the log it would stop every replica.
+	// Size returns the encoded size of a command, or an error for a command that can't be decoded again and
+	// would therefore stop every replica if it were in the log.
 	Size func(specifier.Command) (int, error)
-	// MaxBatch and MaxBytes bound the commands of one batch and their encoded size.
+	// MaxBatch and MaxBytes bound the number of commands in one batch and their encoded size.
 	MaxBatch       int
 	MaxBytes       int
-	MaxSubmissions int // remembered, in force with the next batch
+	MaxSubmissions int // limit of remembered submissions, in force from the next batch
 
-	leads     bool
-	leader    netip.AddrPort
-	ticket    Ticket
-	waiting   []request
-	submitted map[Ticket][]request
-	logged    map[uint64]loggedBatch
-	advanced  time.Time // when the last batch was stamped
-	attending map[Stream]*attendant
-	leases    map[specifier.Identity]time.Time
-	expiring  container.Heap[lease]              // every grant, also those that were renewed since
-	ending    map[specifier.Identity]bool        // EndMember is on its way
-	lessors   map[string]*limiter.Lessor[string] // by service
-	changes   []change
-	complete  uint64 // changes holds every change after this version of the membership
-	out       []Action
+	leads           bool
+	leader          netip.AddrPort
+	ticket          Ticket
+	waiting         []request
+	submitted       map[Ticket][]request
+	logged          map[uint64]loggedBatch
+	clockAdvancedAt time.Time // time up to which batches advanced the replicated clock
+	sessions        map[Stream]*session
+	leases          map[specifier.Identity]time.Time
+	expirations     container.Heap[lease]              // every grant, also those that were renewed since
+	ending          map[specifier.Identity]bool        // an EndMember command waits for the log or is in it
+	lessors         map[string]*limiter.Lessor[string] // by service
+	changes         []change
+	changesSince    uint64 // changes holds every change after this version of the membership
+	actions         []Action
 }
 
 // New returns a sequencer that does not lead. Its exported fields are still to be set.
 func New(state *registrar.Registrar) *Sequencer {
 	return &Sequencer{
-		Registrar: state,
-		submitted: make(map[Ticket][]request),
-		logged:    make(map[uint64]loggedBatch),
-		attending: make(map[Stream]*attendant),
-		leases:    make(map[specifier.Identity]time.Time),
-		expiring:  container.Heap[lease]{Less: lease.less},
-		ending:    make(map[specifier.Identity]bool),
-		lessors:   make(map[string]*limiter.Lessor[string]),
-		complete:  state.MemberVersion(),
+		Registrar:    state,
+		submitted:    make(map[Ticket][]request),
+		logged:       make(map[uint64]loggedBatch),
+		sessions:     make(map[Stream]*session),
+		leases:       make(map[specifier.Identity]time.Time),
+		expirations:  container.Heap[lease]{Less: lease.less},
+		ending:       make(map[specifier.Identity]bool),
+		lessors:      make(map[string]*limiter.Lessor[string]),
+		changesSince: state.MemberVersion(),
 	}
 }
 
 // Step handles one event.
 func (s *Sequencer) Step(now time.Time, event Event) []Action {
-	s.out = nil
+	s.actions = nil
 	switch event := event.(type) {
 	case Proposed:
 		s.proposed(now, event)
 	case HeartbeatReceived:
-		s.attended(now, event)
+		s.heartbeatReceived(now, event)
 	case StreamClosed:
-		delete(s.attending, event.Stream)
+		delete(s.sessions, event.Stream)
 	case Logged:
 		s.logged[event.Index] = loggedBatch{term: event.Term, requests: s.submitted[event.Ticket]}
 		delete(s.submitted, event.Ticket)
@@ -89,22 +89,22 @@
 	case Committed:
 		s.committed(now, event)
 	case BecameLeader:
-		s.led(now)
+		s.becomeLeader(now)
 	case BecameFollower:
-		s.followed(event)
+		s.becomeFollower(event)
 	}
 	s.submit(now)
-	return s.out
+	return s.actions
 }
 
-// Expire ends the members whose leases are over.
+// Expire proposes the end of the members whose leases have ended.
 func (s *Sequencer) Expire(now time.Time) []Action {
-	s.out = nil
+	s.actions = nil
 	for _, id := range s.due(now) {
 		s.enqueue(request{command: specifier.EndMember{Identity: id}})
 	}
 	s.submit(now)
-	return s.out
+	return s.actions
 }
 
 // Next returns when the next lease ends.
@@ -121,7 +121,7 @@
 
 func (s *Sequencer) proposed(now time.Time, e Proposed) {
 	decide := func(d specifier.Decision) {
-		s.out = append(s.out, Decide{Stream: e.Stream, Sequence: e.Sequence, Decision: d})
+		s.actions = append(s.actions, Decide{Stream: e.Stream, Sequence: e.Sequence, Decision: d})
 	}
 	switch {
 	case !s.leads:
@@ -135,7 +135,7 @@
 	}
 }
 
-// enqueue makes a command wait for the next batch, unless it is not fit for the log.
+// enqueue adds a command to those that wait for a batch. It returns an error for one that can't be decoded or is too large.
 func (s *Sequencer) enqueue(r request) error {
 	size, err := s.Size(r.command)
 	if err == nil && size > s.MaxBytes {
@@ -149,20 +149,20 @@
 	return nil
 }
 
-// submit gives the waiting commands to the log as one batch.
+// submit proposes the waiting commands in batches, as far as maxInFlight allows.
 func (s *Sequencer) submit(now time.Time) {
 	for s.leads && len(s.waiting) > 0 && len(s.submitted)+len(s.logged) < maxInFlight {
 		size := s.batchSize()
-		// The rest of a longer time without batches follows with the next ones.
-		batch := specifier.Batch{Advance: min(max(now.Sub(s.advanced), 0), specifier.MaxAdvance), MaxSubmissions: s.MaxSubmissions}
+		// When more than MaxAdvance has passed since the last batch, the next batches advance the clock by the rest.
+		batch := specifier.Batch{Advance: min(max(now.Sub(s.clockAdvancedAt), 0), specifier.MaxAdvance), MaxSubmissions: s.MaxSubmissions}
 		for _, request := range s.waiting[:size] {
 			batch.Commands = append(batch.Commands, request.command)
 		}
-		s.advanced = s.advanced.Add(batch.Advance)
+		s.clockAdvancedAt = s.clockAdvancedAt.Add(batch.Advance)
 		s.ticket++
 		s.submitted[s.ticket] = slices.Clone(s.waiting[:size])
 		s.waiting = slices.Delete(s.waiting, 0, size)
-		s.out = append(s.out, Submit{Ticket: s.ticket, Batch: batch})
+		s.actions = append(s.actions, Submit{Ticket: s.ticket, Batch: batch})
 	}
 }
 
--- a/controller/sequencer/sequencer_test.go
+++ b/controller/sequencer/sequencer_test.go
@@ -15,7 +15,7 @@
 
 const lease = 3 * time.Second
 
-// fixture is a sequencer with a log that commits what the test tells it to.
+// fixture is a sequencer with a log that commits when the test asks for it.
 type fixture struct {
 	t         *testing.T
 	now       time.Time
@@ -62,7 +62,7 @@
 	}
 }
 
-func (f *fixture) attend(stream sequencer.Stream, member specifier.Member) {
+func (f *fixture) join(stream sequencer.Stream, member specifier.Member) {
 	f.step(sequencer.HeartbeatReceived{Stream: stream, Heartbeat: specifier.Heartbeat{Member: &member}})
 	f.commit()
 }
@@ -86,18 +86,18 @@
 	return specifier.AcceptJob{Job: specifier.NewJobID("t", fmt.Sprint(i)), Owner: specifier.Identity{Name: owner, Incarnation: 1}, TaskCount: 1, TimeLeft: time.Second}
 }
 
-// mustState checks what is recorded of a member.
+// mustState checks the recorded state of a member.
 func mustState(t *testing.T, f *fixture, name string, want specifier.MemberState) {
 	t.Helper()
 	known, _ := f.machine.Registrar.Member(name)
 	must.Eq(t, want, known.State)
 }
 
-// Guards against a member that outlives its lease, or that is ended before it.
+// Guards against a member that stays up after its lease has ended, or that is declared down earlier.
 func TestLease(t *testing.T) {
 	t.Run("ends without a renewal", func(t *testing.T) {
 		f := newFixture(t)
-		f.attend(1, member(specifier.Agent, "worker"))
+		f.join(1, member(specifier.Agent, "worker"))
 		must.Eq(t, lease, f.last(1).Lease)
 		must.Eq(t, f.now.Add(lease), f.machine.Next())
 		f.now = f.now.Add(lease)
@@ -109,7 +109,7 @@
 	})
 	t.Run("a renewal extends it", func(t *testing.T) {
 		f := newFixture(t)
-		f.attend(1, member(specifier.Agent, "worker"))
+		f.join(1, member(specifier.Agent, "worker"))
 		f.now = f.now.Add(lease - time.Millisecond)
 		f.step(sequencer.HeartbeatReceived{Stream: 1})
 		f.now = f.now.Add(time.Millisecond)
@@ -119,7 +119,7 @@
 	})
 	t.Run("a new leader grants a whole one", func(t *testing.T) {
 		f := newFixture(t)
-		f.attend(1, member(specifier.Agent, "worker"))
+		f.join(1, member(specifier.Agent, "worker"))
 		f.now = f.now.Add(lease - time.Millisecond)
 		f.step(sequencer.BecameFollower{})
 		must.True(t, f.machine.Next().IsZero())
@@ -128,20 +128,20 @@
 	})
 }
 
-// Guards against a sync for each command under load.
+// Guards against one log entry, and so one disk sync, for each command under load.
 func TestCommandsShareABatch(t *testing.T) {
 	f := newFixture(t)
 	for i := range 1000 {
 		f.step(sequencer.Proposed{Stream: 1, Sequence: uint64(i + 1), Command: accept(i, "entry")})
 	}
-	must.Len(t, 64, f.submitted) // as many as may be in the log; the disk shares its syncs between them
+	must.Len(t, 64, f.submitted) // maxInFlight; the disk shares its syncs among them
 	f.commit()
 	must.Len(t, 1000, f.decided)
-	must.Eq(t, 65, f.index) // and one for all that came meanwhile
+	must.Eq(t, 65, f.index) // one more for all commands that arrived meanwhile
 }
 
-// Guards against a command without an answer when the lead is lost, and against an answer for an entry of
-// another leader at the same position.
+// Guards against a command that gets no reply when the leadership is lost, and against a second reply when another leader's entry is
+// committed at the same index.
 func TestLostLead(t *testing.T) {
 	f := newFixture(t)
 	for i := range 10 {
@@ -158,17 +158,17 @@
 	must.Len(t, 10, f.decided)
 }
 
-// Guards against traffic that grows with the membership on every change, and against a change that is missed.
+// Guards against sending the whole membership on every change, and against a missed change.
 func TestUpdatesCarryChanges(t *testing.T) {
 	f := newFixture(t)
-	f.attend(1, member(specifier.Entry, "entry"))
+	f.join(1, member(specifier.Entry, "entry"))
 	must.True(t, f.last(1).Whole)
 	for i := range 20 {
-		f.attend(sequencer.Stream(10+i), member(specifier.Agent, fmt.Sprintf("worker-%02d", i)))
+		f.join(sequencer.Stream(10+i), member(specifier.Agent, fmt.Sprintf("worker-%02d", i)))
 		must.Len(t, 1, f.last(1).Members)
 	}
 	agent := f.pushed[10]
-	f.attend(50, member(specifier.Agent, "worker-99"))
+	f.join(50, member(specifier.Agent, "worker-99"))
 	must.Len(t, len(agent), f.pushed[10]) // agents get only their own record
 	f.step(sequencer.Proposed{Stream: 2, Sequence: 1, Command: specifier.DrainMember{Name: "worker-00", Draining: true}})
 	f.commit()
@@ -180,8 +180,8 @@
 // Guards against a configuration that reaches a member only with its next renewal.
 func TestConfigurationIsPushed(t *testing.T) {
 	f := newFixture(t)
-	f.attend(1, member(specifier.Entry, "entry"))
-	f.attend(2, member(specifier.Agent, "worker"))
+	f.join(1, member(specifier.Entry, "entry"))
+	f.join(2, member(specifier.Agent, "worker"))
 	f.step(sequencer.Proposed{Stream: 3, Sequence: 1, Command: specifier.ChangeConfiguration{RequestID: "r", Operator: "o",
 		Profiles: []specifier.Profile{{Name: "hold", Service: "reservas"}}}})
 	f.commit()
@@ -191,16 +191,16 @@
 	}
 }
 
-// Guards against entries that together promise teams more slots than there are.
+// Guards against entries whose shares together exceed the slots, and against slots that are not divided by the teams' shares.
 func TestSharesStayWithinTheSlots(t *testing.T) {
 	f := newFixture(t)
-	f.attend(1, member(specifier.Agent, "worker"))
+	f.join(1, member(specifier.Agent, "worker"))
 	f.step(sequencer.Proposed{Stream: 9, Sequence: 1, Command: specifier.ChangeConfiguration{RequestID: "r", Operator: "o",
 		Profiles: []specifier.Profile{{Name: "hold", Service: "reservas"}}, Teams: []specifier.Team{{Name: "a", Share: 1}, {Name: "b", Share: 3}}}})
 	f.commit()
 	needs := []specifier.ServiceShare{{Service: "reservas", Teams: []specifier.TeamSlots{{Team: "a", Slots: 50}, {Team: "b", Slots: 50}}}}
 	for stream := sequencer.Stream(2); stream <= 4; stream++ {
-		f.attend(stream, member(specifier.Entry, fmt.Sprintf("entry-%d", stream)))
+		f.join(stream, member(specifier.Entry, fmt.Sprintf("entry-%d", stream)))
 	}
 	for range 5 {
 		total, first, second := 0.0, 0.0, 0.0
--- a/controller/sequencer/submit.go
+++ b/controller/sequencer/submit.go
@@ -2,7 +2,7 @@
 
 import "oleandertally/core/specifier"
 
-// Submit gives a batch to the log.
+// Submit proposes a batch to the log.
 type Submit struct {
 	Ticket Ticket
 	Batch  specifier.Batch
--- a/controller/sequencer/ticket.go
+++ b/controller/sequencer/ticket.go
@@ -1,4 +1,4 @@
 package sequencer
 
-// Ticket identifies one batch that this controller gave to the log.
+// Ticket identifies one batch that this controller proposed to the log.
 type Ticket uint64
--- a/controller/sequencer/timeline.go
+++ b/controller/sequencer/timeline.go
@@ -8,25 +8,25 @@
 	"oleandertally/core/specifier"
 )
 
-// noteChange records a change of the membership or the configuration that took effect.
-func (s *Sequencer) noteChange(command specifier.Command, decision specifier.Decision) {
+// recordChange adds an applied change of the membership or the configuration to the time line.
+func (s *Sequencer) recordChange(command specifier.Command, decision specifier.Decision) {
 	if decision.Verdict != specifier.Applied {
 		return
 	}
 	switch command := command.(type) {
 	case specifier.JoinMember:
-		s.note(recorder.MemberJoined, command.Member.Identity.String(), string(command.Member.Role)+" in "+command.Member.Zone)
+		s.record(recorder.MemberJoined, command.Member.Identity.String(), string(command.Member.Role)+" in "+command.Member.Zone)
 	case specifier.EndMember:
-		s.note(recorder.MemberDown, command.Identity.String(), "")
+		s.record(recorder.MemberDown, command.Identity.String(), "")
 	case specifier.DrainMember:
-		s.note(recorder.DrainChanged, command.Name, fmt.Sprintf("draining %t", command.Draining))
+		s.record(recorder.DrainChanged, command.Name, fmt.Sprintf("draining %t", command.Draining))
 	case specifier.ChangeConfiguration:
-		s.note(recorder.ConfigurationChanged, "", fmt.Sprintf("revision %d by %s", decision.Revision, command.Operator))
+		s.record(recorder.ConfigurationChanged, "", fmt.Sprintf("revision %d by %s", decision.Revision, command.Operator))
 	}
 }
 
-func (s *Sequencer) note(kind recorder.Kind, other, detail string) {
-	s.out = append(s.out, RecordEvent{recorder.Event{Kind: kind, Other: other, Detail: detail}})
+func (s *Sequencer) record(kind recorder.Kind, other, detail string) {
+	s.actions = append(s.actions, RecordEvent{recorder.Event{Kind: kind, Other: other, Detail: detail}})
 }
 
 func leaderText(addr netip.AddrPort) string {
