--- a/controller/driver/action.go
+++ b/controller/driver/action.go
@@ -6,7 +6,8 @@
 	"oleandertally/state/replicator"
 )
 
-// Action is an output of the log, of the sequencer, of the queues, or an answer to a request of the network: exactly one is set.
+// Action is an action of the log, the sequencer or the dispatcher, an answer to a request from the network, or the size of a
+// proposed batch. One field is set, and Image together with Log.
 type Action struct {
 	Log                   replicator.Action
 	Control               sequencer.Action
@@ -15,8 +16,8 @@
 	Read                  *ReadAnswered
 	LeadershipTransferred *LeadershipTransferred
 	Measured              *Measured
-	// Batched is how many commands share the log entry that was proposed; 0 when none was.
+	// Batched is how many commands share the log entry that was proposed; 0 if none was proposed.
 	Batched int
-	// Image is the state to save, with SaveSnapshot in Log.
+	// Image is the state to save when Log is SaveSnapshot.
 	Image *Image
 }
--- a/controller/driver/bench_test.go
+++ b/controller/driver/bench_test.go
@@ -20,7 +20,7 @@
 	"oleandertally/state/replicator"
 )
 
-// bench is a controller alone whose disk syncs at once, so that only the control goroutine's work counts.
+// bench is a single controller whose disk syncs immediately, so that only the control goroutine's work is measured.
 type bench struct {
 	b       *testing.B
 	now     time.Time
@@ -85,8 +85,8 @@
 	c.propose(specifier.AcceptJob{Job: job, Digest: specifier.Digest{1}, Owner: owner, TaskCount: 8, TimeLeft: time.Minute})
 }
 
-// BenchmarkAcceptance measures the control goroutine's time for an acceptance that shares its log entry with no
-// other, and the bytes that go to each follower and to the disk for it.
+// BenchmarkAcceptance measures the control goroutine's time for an acceptance alone in its log entry, and the bytes that are
+// written to the disk and sent to each follower for it.
 func BenchmarkAcceptance(b *testing.B) {
 	for _, size := range []int{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/controller/driver/doc.go
+++ b/controller/driver/doc.go
@@ -1,3 +1,3 @@
-// Package driver joins the replicated log with the sequencer into the one machine that a controller's
-// control goroutine runs. Disk and network are left to the adapters of package server.
+// Package driver connects the replicated log, the sequencer and the dispatcher to the one state machine that a controller's
+// control goroutine runs. The adapters of package server handle disk and network.
 package driver
--- a/controller/driver/driver.go
+++ b/controller/driver/driver.go
@@ -16,44 +16,45 @@
 	"oleandertally/state/replicator"
 )
 
-// joinTickets is added to the tickets of requests to join, which the sequencer does not know.
-const joinTickets = 1 << 62
+// joinTicketBase is added to the tickets of Join requests, to tell them from the sequencer's tickets.
+const joinTicketBase = 1 << 62
 
 // Driver is the control state of a controller. Exported fields are set before the first Step.
 type Driver struct {
 	Node       *replicator.Node
 	Sequencer  *sequencer.Sequencer
 	Dispatcher *dispatcher.Dispatcher
-	// Fault is called with an error that the controller can't go on after: a committed batch or
+	// Fault is called with an error that the controller can't continue after, such as a committed batch or
 	// a snapshot that can't be decoded.
 	Fault func(error)
-	// AllowedNames are the controllers that may join; nil for any.
+	// AllowedNames are the names of the controllers that may join; nil allows any.
 	AllowedNames []string
-	// MinVoters is how many controllers must hold the log before queues take anything in, so that what is acknowledged
-	// survives the losses that the site is built for.
+	// MinVoters is how many voters the log must have before the queues accept anything, so that acknowledged jobs and manifests
+	// survive the losses that the site is designed for.
 	MinVoters int
-	// VoterTimeout is how long a voter may be silent before it is removed while more than MinVoters are left; 0 for never.
+	// VoterTimeout is how long a voter may be unreachable before it is removed while there are more than MinVoters; 0 for never.
+	// A learner is removed after the same time.
 	VoterTimeout time.Duration
 	Zone         string // of this controller, for operators
 
-	history    operator.History
-	remembered specifier.Revision  // the newest one in history
-	servers    []replicator.Server // in force
-	leader     netip.AddrPort      // zero while unknown or while this controller leads
-	offered    map[replicator.Index][]byte
-	leaving    []uint64 // tickets of requests to hand over
-	queued     map[replicator.Ticket]specifier.QueueCommand
-	lastQueued replicator.Ticket
-	pruneAt    time.Time
-	out        []Action
+	history          operator.History
+	historyRevision  specifier.Revision          // newest revision in history
+	servers          []replicator.Server         // servers of the configuration in force
+	leader           netip.AddrPort              // zero while unknown or while this controller leads
+	receivedSnapshot map[replicator.Index][]byte // content of the snapshot in the present event, by its index
+	transfers        []uint64                    // tickets of TransferLeadership requests that are not answered
+	proposedCommands map[replicator.Ticket]specifier.QueueCommand
+	lastQueueTicket  replicator.Ticket
+	pruneAt          time.Time
+	actions          []Action
 }
 
 // Step handles one event.
 func (d *Driver) Step(now time.Time, event Event) []Action {
-	d.out = nil
+	d.actions = nil
 	switch {
 	case event.Log != nil:
-		d.offer(event)
+		d.keepSnapshotContent(event)
 		d.perform(now, d.Node.Step(now, event.Log))
 	case event.Queue != nil:
 		d.queue(now, d.Dispatcher.Step(now, event.Queue))
@@ -62,18 +63,18 @@
 	case event.Read != nil:
 		d.read(now, *event.Read)
 	case event.TransferLeadership != nil:
-		d.handOver(now, *event.TransferLeadership)
+		d.transferLeadership(now, *event.TransferLeadership)
 	case event.Measure != nil:
 		d.measure(now, *event.Measure)
 	default:
 		d.control(now, d.Sequencer.Step(now, event.Control))
 	}
-	return d.out
+	return d.actions
 }
 
 // Expire handles the deadlines that are due.
 func (d *Driver) Expire(now time.Time) []Action {
-	d.out = nil
+	d.actions = nil
 	if next := d.Node.Next(); !next.IsZero() && !next.After(now) {
 		d.perform(now, d.Node.Expire(now))
 	}
@@ -86,7 +87,7 @@
 	if !d.pruneAt.IsZero() && !d.pruneAt.After(now) {
 		d.prune(now)
 	}
-	return d.out
+	return d.actions
 }
 
 // Next returns the earliest deadline.
@@ -110,24 +111,24 @@
 	return netip.AddrPort{}
 }
 
-// join adds a server, in the place of the one of the same name whose disk is lost.
+// join adds a server to the log. It replaces a voter of the same name with another disk ID, whose disk is lost.
 func (d *Driver) join(now time.Time, request Join) {
 	answer := JoinAnswered{Ticket: request.Ticket}
 	if !d.Node.Leading(now) {
 		answer.Leader, answer.Detail = d.leader, "this controller does not lead"
-		d.out = append(d.out, Action{Joined: &answer})
+		d.actions = append(d.actions, Action{Joined: &answer})
 		return
 	}
 	if d.AllowedNames != nil && !slices.Contains(d.AllowedNames, request.Server.ID.Name) {
 		answer.Detail = "this name is not in the leader's settings"
-		d.out = append(d.out, Action{Joined: &answer})
+		d.actions = append(d.actions, Action{Joined: &answer})
 		return
 	}
-	add := replicator.AddServer{Ticket: request.Ticket + joinTickets, Server: request.Server}
+	add := replicator.AddServer{Ticket: request.Ticket + joinTicketBase, Server: request.Server}
 	for _, known := range d.servers {
 		if known.ID == request.Server.ID {
 			answer.Member, answer.Detail = known.Voter, "the log is being copied"
-			d.out = append(d.out, Action{Joined: &answer})
+			d.actions = append(d.actions, Action{Joined: &answer})
 			return
 		}
 		if known.ID.Name == request.Server.ID.Name && known.Voter {
@@ -137,20 +138,20 @@
 	d.perform(now, d.Node.Step(now, add))
 }
 
-// joinAnswered answers a request that went to the log.
+// joinAnswered answers a Join request that was proposed to the log.
 func (d *Driver) joinAnswered(ticket replicator.Ticket, detail string) {
-	d.out = append(d.out, Action{Joined: &JoinAnswered{Ticket: ticket - joinTickets, Leader: d.leader, Detail: detail}})
+	d.actions = append(d.actions, Action{Joined: &JoinAnswered{Ticket: ticket - joinTicketBase, Leader: d.leader, Detail: detail}})
 }
 
-// offer keeps the content of a snapshot until the node says whether to restore it.
-func (d *Driver) offer(event Event) {
-	clear(d.offered)
+// keepSnapshotContent keeps the content of a received snapshot for the node's decision whether to restore it.
+func (d *Driver) keepSnapshotContent(event Event) {
+	clear(d.receivedSnapshot)
 	received, ok := event.Log.(replicator.Received)
 	if !ok {
 		return
 	}
 	if install, ok := received.Envelope.Message.(replicator.InstallSnapshot); ok {
-		d.offered = map[replicator.Index][]byte{install.Snapshot.Index: event.Content}
+		d.receivedSnapshot = map[replicator.Index][]byte{install.Snapshot.Index: event.Content}
 	}
 }
 
@@ -158,27 +159,27 @@
 	for _, action := range actions {
 		switch action := action.(type) {
 		case replicator.Proposed:
-			if action.Ticket >= joinTickets {
+			if action.Ticket >= joinTicketBase {
 				d.joinAnswered(action.Ticket, "the server is being added")
 				continue
 			}
-			if action.Ticket >= queueTickets {
-				delete(d.queued, action.Ticket)
+			if action.Ticket >= queueTicketBase {
+				delete(d.proposedCommands, action.Ticket)
 				continue
 			}
 			d.control(now, d.Sequencer.Step(now, sequencer.Logged{Ticket: sequencer.Ticket(action.Ticket),
 				Index: uint64(action.Index), Term: uint64(action.Term)}))
 		case replicator.Refused:
-			if action.Ticket >= joinTickets {
+			if action.Ticket >= joinTicketBase {
 				d.joinAnswered(action.Ticket, string(action.Reason))
 				continue
 			}
-			if action.Ticket >= queueTickets && action.Ticket < transferTickets {
-				d.queueRefused(now, action.Ticket)
+			if action.Ticket >= queueTicketBase && action.Ticket < transferTicketBase {
+				d.queueCommandRefused(now, action.Ticket)
 				continue
 			}
-			if action.Ticket >= transferTickets {
-				d.handedOver(string(action.Reason))
+			if action.Ticket >= transferTicketBase {
+				d.answerTransfers(string(action.Reason))
 				continue
 			}
 			d.control(now, d.Sequencer.Step(now, sequencer.Rejected{Ticket: sequencer.Ticket(action.Ticket), Verdict: verdict(action.Reason)}))
@@ -186,28 +187,28 @@
 			d.apply(now, action.Entries)
 		case replicator.MembershipChanged:
 			d.servers = action.Servers
-			d.out = append(d.out, Action{Log: action})
+			d.actions = append(d.actions, Action{Log: action})
 		case replicator.BecameLeader:
 			d.leader = netip.AddrPort{}
 			d.control(now, d.Sequencer.Step(now, sequencer.BecameLeader{}))
 			d.queue(now, d.Dispatcher.Step(now, dispatcher.BecameLeader{Term: uint64(action.Term)}))
-			d.watchPeers(now)
-			d.out = append(d.out, Action{Log: action})
+			d.schedulePrune(now)
+			d.actions = append(d.actions, Action{Log: action})
 		case replicator.BecameFollower:
 			d.leader = d.addrOf(action.Leader)
 			d.control(now, d.Sequencer.Step(now, sequencer.BecameFollower{Leader: d.leader}))
 			d.queue(now, d.Dispatcher.Step(now, dispatcher.BecameFollower{}))
 			d.pruneAt = time.Time{}
 			if !action.Leader.IsZero() {
-				d.handedOver("")
+				d.answerTransfers("")
 			}
-			d.out = append(d.out, Action{Log: action})
+			d.actions = append(d.actions, Action{Log: action})
 		case replicator.SaveSnapshot:
-			d.out = append(d.out, Action{Log: action, Image: &Image{Queues: d.Dispatcher.Recorder.Image(), Registry: d.Sequencer.Registrar.Image()}})
+			d.actions = append(d.actions, Action{Log: action, Image: &Image{Queues: d.Dispatcher.Recorder.Image(), Registry: d.Sequencer.Registrar.Image()}})
 		case replicator.Restore:
 			d.restore(action)
 		default:
-			d.out = append(d.out, Action{Log: action})
+			d.actions = append(d.actions, Action{Log: action})
 		}
 	}
 }
@@ -216,7 +217,7 @@
 	for _, action := range actions {
 		submit, ok := action.(sequencer.Submit)
 		if !ok {
-			d.out = append(d.out, Action{Control: action})
+			d.actions = append(d.actions, Action{Control: action})
 			continue
 		}
 		data, err := proto.Marshal(encoder.EncodeBatch(submit.Batch))
@@ -224,7 +225,7 @@
 			d.Fault(errors.Wrap(err, "driver: encode a batch"))
 			continue
 		}
-		d.out = append(d.out, Action{Batched: len(submit.Batch.Commands)})
+		d.actions = append(d.actions, Action{Batched: len(submit.Batch.Commands)})
 		d.perform(now, d.Node.Step(now, replicator.Propose{Ticket: replicator.Ticket(submit.Ticket), Data: data}))
 	}
 }
@@ -243,14 +244,14 @@
 		for _, command := range batch.Queue {
 			d.queue(now, d.Dispatcher.Step(now, dispatcher.Applied{Command: command}))
 		}
-		d.remember()
+		d.addToHistory()
 	}
 }
 
-// restore loads a snapshot that the log took over. At the start there is none to load: the adapter
-// read it with the data folder.
+// restore loads a received snapshot that the node installed. At start-up no snapshot is received: the adapter
+// has already read the one in the data folder.
 func (d *Driver) restore(action replicator.Restore) {
-	if content, ok := d.offered[action.Snapshot.Index]; ok {
+	if content, ok := d.receivedSnapshot[action.Snapshot.Index]; ok {
 		queues, state, err := DecodeImage(content, d.Dispatcher.Recorder.Retention)
 		if err != nil {
 			d.Fault(errors.Wrapf(err, "driver: decode the snapshot at %d", action.Snapshot.Index))
@@ -258,9 +259,9 @@
 		}
 		d.Sequencer.Restore(state)
 		d.Dispatcher.Recorder = queues
-		d.remember()
+		d.addToHistory()
 	}
-	d.out = append(d.out, Action{Log: action})
+	d.actions = append(d.actions, Action{Log: action})
 }
 
 func decodeBatch(data []byte) (specifier.Batch, error) {
--- a/controller/driver/event.go
+++ b/controller/driver/event.go
@@ -6,7 +6,8 @@
 	"oleandertally/state/replicator"
 )
 
-// Event is an input for the log, for the sequencer, for the queues, or a request of the network: exactly one is set.
+// Event is an event for the log, the sequencer or the dispatcher, or a request from the network. One field is set, and Content
+// together with Log.
 type Event struct {
 	Log                replicator.Event
 	Control            sequencer.Event
@@ -15,6 +16,6 @@
 	Read               *Read
 	TransferLeadership *TransferLeadership
 	Measure            *Measure
-	// Content is the content of the snapshot that an InstallSnapshot in Log offers.
+	// Content is the content of the snapshot when Log is a received InstallSnapshot.
 	Content []byte
 }
--- a/controller/driver/join.go
+++ b/controller/driver/join.go
@@ -2,7 +2,7 @@
 
 import "oleandertally/state/replicator"
 
-// Join asks that Server becomes a voter. It is idempotent.
+// Join asks the leader to make Server a voter. It is idempotent.
 type Join struct {
 	Ticket replicator.Ticket
 	Server replicator.Server
--- a/controller/driver/joinanswered.go
+++ b/controller/driver/joinanswered.go
@@ -6,7 +6,7 @@
 	"oleandertally/state/replicator"
 )
 
-// JoinAnswered answers Join. Until Member is true the server asks again.
+// JoinAnswered answers Join. The server repeats its request until Member is true.
 type JoinAnswered struct {
 	Ticket replicator.Ticket
 	Member bool           // the server is a voter
--- a/controller/driver/leadershiptransferred.go
+++ b/controller/driver/leadershiptransferred.go
@@ -1,7 +1,7 @@
 package driver
 
-// LeadershipTransferred answers HandOver once another controller leads, so that the message that makes it campaign has
-// left, or when this one can't hand over.
+// LeadershipTransferred answers TransferLeadership once another controller leads, or when this one can't transfer its leadership. It
+// waits for the new leader so that the message that makes the other controller campaign has certainly been sent.
 type LeadershipTransferred struct {
 	Ticket uint64
 	Detail string // why this controller still leads; empty when it does not
--- a/controller/driver/new.go
+++ b/controller/driver/new.go
@@ -7,7 +7,7 @@
 	"oleandertally/state/replicator"
 )
 
-// New joins a log with a sequencer and a dispatcher. The other exported fields of all of them are still to be set.
+// New connects a log, a sequencer and a dispatcher. The caller sets their other exported fields and those of the driver.
 func New(node *replicator.Node, control *sequencer.Sequencer, queues *dispatcher.Dispatcher) *Driver {
 	control.Leading, control.Size = node.Leading, size
 	control.MaxBytes = node.Settings.MaxEntry - itemOverhead
--- a/controller/driver/prune.go
+++ b/controller/driver/prune.go
@@ -7,23 +7,23 @@
 	"oleandertally/state/replicator"
 )
 
-// pruneEvery is how often a leader looks for voters that are gone for good.
-const pruneEvery = 500 * time.Millisecond
+// pruneInterval is how often a leader checks for servers to remove.
+const pruneInterval = 500 * time.Millisecond
 
-// pruneTicket is that of every removal; its outcome is seen in the next look.
-const pruneTicket = queueTickets
+// pruneTicket is the ticket of every removal. Its outcome is seen in the next check.
+const pruneTicket = queueTicketBase
 
-// watchPeers begins to look for voters that are gone.
-func (d *Driver) watchPeers(now time.Time) {
+// schedulePrune schedules the first check of a new leader for unreachable servers.
+func (d *Driver) schedulePrune(now time.Time) {
 	if d.VoterTimeout > 0 {
 		d.pruneAt = now.Add(d.VoterTimeout)
 	}
 }
 
-// prune removes a learner, or else a voter, that was silent for DeadAfter while enough others are left. A machine that is gone for good would
-// otherwise count against the majority together with the next one that is lost.
+// prune removes a learner, or else a voter, that was unreachable for VoterTimeout; a voter only while enough others are left. A
+// permanently lost machine that stays a voter would count against the majority together with the next machine that is lost.
 func (d *Driver) prune(now time.Time) {
-	d.pruneAt = now.Add(pruneEvery)
+	d.pruneAt = now.Add(pruneInterval)
 	if !d.Node.Leading(now) {
 		return
 	}
@@ -35,10 +35,10 @@
 		if server.Voter {
 			voters++
 		}
-		silent := slices.ContainsFunc(peers, func(peer replicator.PeerStatus) bool {
+		unreachable := slices.ContainsFunc(peers, func(peer replicator.PeerStatus) bool {
 			return peer.ID == server.ID && now.Sub(peer.Heard) > d.VoterTimeout
 		})
-		if silent && (dead.IsZero() || !server.Voter) {
+		if unreachable && (dead.IsZero() || !server.Voter) {
 			dead, learner = server.ID, !server.Voter
 		}
 	}
--- a/controller/driver/queues.go
+++ b/controller/driver/queues.go
@@ -12,16 +12,16 @@
 	"oleandertally/state/replicator"
 )
 
-// queueTickets is added to the tickets of the queues' commands, which the sequencer does not know.
-const queueTickets = 1 << 60
+// queueTicketBase is added to the tickets of the dispatcher's commands, to tell them from the sequencer's tickets.
+const queueTicketBase = 1 << 60
 
-// queue performs the actions of the dispatcher. A command goes to the log; all that arrive while one write is being synced
-// share the next one.
+// queue performs the actions of the dispatcher. Its commands are proposed to the log; those that arrive while a write is being synced
+// share the next write.
 func (d *Driver) queue(now time.Time, actions []dispatcher.Action) {
 	for _, action := range actions {
 		propose, ok := action.(dispatcher.Propose)
 		if !ok {
-			d.out = append(d.out, Action{Queue: action})
+			d.actions = append(d.actions, Action{Queue: action})
 			continue
 		}
 		data, err := proto.Marshal(encoder.EncodeBatch(specifier.Batch{Queue: []specifier.QueueCommand{propose.Command}}))
@@ -29,24 +29,24 @@
 			d.Fault(errors.Wrap(err, "driver: encode a command of the queues"))
 			continue
 		}
-		d.lastQueued++
-		ticket := queueTickets + d.lastQueued
-		if d.queued == nil {
-			d.queued = make(map[replicator.Ticket]specifier.QueueCommand)
+		d.lastQueueTicket++
+		ticket := queueTicketBase + d.lastQueueTicket
+		if d.proposedCommands == nil {
+			d.proposedCommands = make(map[replicator.Ticket]specifier.QueueCommand)
 		}
-		d.queued[ticket] = propose.Command
+		d.proposedCommands[ticket] = propose.Command
 		d.perform(now, d.Node.Step(now, replicator.Propose{Ticket: ticket, Data: data}))
 	}
 }
 
-// queueRefused tells the dispatcher that the log did not take a command.
-func (d *Driver) queueRefused(now time.Time, ticket replicator.Ticket) {
-	command := d.queued[ticket]
-	delete(d.queued, ticket)
+// queueCommandRefused reports to the dispatcher that the log did not accept a command.
+func (d *Driver) queueCommandRefused(now time.Time, ticket replicator.Ticket) {
+	command := d.proposedCommands[ticket]
+	delete(d.proposedCommands, ticket)
 	d.queue(now, d.Dispatcher.Step(now, dispatcher.Rejected{Command: command}))
 }
 
-// enoughVoters reports whether enough controllers hold the log.
+// enoughVoters reports whether the log has at least MinVoters voters.
 func (d *Driver) enoughVoters() bool {
 	voters := 0
 	for _, server := range d.servers {
--- a/controller/driver/size.go
+++ b/controller/driver/size.go
@@ -7,11 +7,11 @@
 	"oleandertally/core/specifier"
 )
 
-// itemOverhead is more than what a batch adds to each of its commands, in bytes.
+// itemOverhead is an upper bound of what a batch adds to each of its commands, in bytes.
 const itemOverhead = 16
 
-// size returns the encoded size of a command. It encodes and decodes the command: one that can be
-// proposed but not decoded would stop every replica that applies it.
+// size returns the encoded size of a command. It also decodes the command, because one that can be encoded but not decoded
+// would stop every replica that applies it.
 func size(command specifier.Command) (int, error) {
 	message := encoder.EncodeCommand(command)
 	if _, err := encoder.DecodeCommand(message); err != nil {
--- a/controller/driver/status.go
+++ b/controller/driver/status.go
@@ -7,10 +7,10 @@
 	"oleandertally/core/specifier"
 )
 
-// historyCap is how many configurations are held for operators. One of 1024 profiles is about 200 KiB.
-const historyCap = 64
+// maxHistory is how many configurations are kept for operators. One of 1024 profiles is about 200 KiB.
+const maxHistory = 64
 
-// read answers from the leader's state. The lease makes sure that no other controller has
+// read answers from the leader's state. The leader's lease ensures that no other controller has
 // accepted a newer change.
 func (d *Driver) read(now time.Time, request Read) {
 	answer := ReadAnswered{Ticket: request.Ticket}
@@ -19,7 +19,7 @@
 	} else {
 		answer.State, answer.Err = d.state(now, request.Revision)
 	}
-	d.out = append(d.out, Action{Read: &answer})
+	d.actions = append(d.actions, Action{Read: &answer})
 }
 
 func (d *Driver) state(now time.Time, revision specifier.Revision) (operator.State, error) {
@@ -61,13 +61,13 @@
 	return list
 }
 
-// remember keeps the configuration in force for operators who ask for its revision later.
-func (d *Driver) remember() {
+// addToHistory keeps the configuration in force for operators who later ask for its revision.
+func (d *Driver) addToHistory() {
 	configuration := d.Sequencer.Registrar.Configuration()
-	if configuration.Revision == d.remembered {
+	if configuration.Revision == d.historyRevision {
 		return
 	}
-	d.remembered = configuration.Revision
-	d.history.Cap = historyCap
+	d.historyRevision = configuration.Revision
+	d.history.Cap = maxHistory
 	d.history.Add(configuration)
 }
--- a/controller/driver/stop.go
+++ b/controller/driver/stop.go
@@ -6,31 +6,31 @@
 	"oleandertally/state/replicator"
 )
 
-// transferTickets is added to the tickets of requests to hand over, which the sequencer does not know.
-const transferTickets = 1 << 61
+// transferTicketBase is added to the tickets of TransferLeadership requests, to tell them from the sequencer's tickets.
+const transferTicketBase = 1 << 61
 
-// handOver starts the transfer of the leadership. The answer follows when the log has a new role.
-func (d *Driver) handOver(now time.Time, request TransferLeadership) {
+// transferLeadership starts the transfer of the leadership. The answer follows when another controller leads or the log refuses.
+func (d *Driver) transferLeadership(now time.Time, request TransferLeadership) {
 	if d.Node.Role() != replicator.Leader {
-		d.out = append(d.out, Action{LeadershipTransferred: &LeadershipTransferred{Ticket: request.Ticket}})
+		d.actions = append(d.actions, Action{LeadershipTransferred: &LeadershipTransferred{Ticket: request.Ticket}})
 		return
 	}
-	d.leaving = append(d.leaving, request.Ticket)
-	d.perform(now, d.Node.Step(now, replicator.Transfer{Ticket: replicator.Ticket(request.Ticket) + transferTickets}))
+	d.transfers = append(d.transfers, request.Ticket)
+	d.perform(now, d.Node.Step(now, replicator.Transfer{Ticket: replicator.Ticket(request.Ticket) + transferTicketBase}))
 }
 
-// handedOver answers every request to hand over.
-func (d *Driver) handedOver(detail string) {
-	for _, ticket := range d.leaving {
-		d.out = append(d.out, Action{LeadershipTransferred: &LeadershipTransferred{Ticket: ticket, Detail: detail}})
+// answerTransfers answers every pending TransferLeadership request.
+func (d *Driver) answerTransfers(detail string) {
+	for _, ticket := range d.transfers {
+		d.actions = append(d.actions, Action{LeadershipTransferred: &LeadershipTransferred{Ticket: ticket, Detail: detail}})
 	}
-	d.leaving = nil
+	d.transfers = nil
 }
 
 // measure returns the figures of this controller.
 func (d *Driver) measure(now time.Time, request Measure) {
 	registrar := d.Sequencer.Registrar
-	d.out = append(d.out, Action{Measured: &Measured{Ticket: request.Ticket, Term: uint64(d.Node.Term()), Leading: d.Node.Leading(now),
+	d.actions = append(d.actions, Action{Measured: &Measured{Ticket: request.Ticket, Term: uint64(d.Node.Term()), Leading: d.Node.Leading(now),
 		Commit: uint64(d.Node.Commit()), Applied: uint64(d.Node.Applied()), Submissions: registrar.Submissions(),
 		Revision: registrar.Configuration().Revision, Members: registrar.Members()}})
 }
--- a/controller/driver/transferleadership.go
+++ b/controller/driver/transferleadership.go
@@ -1,6 +1,6 @@
 package driver
 
-// TransferLeadership asks a leader to give its leadership to another voter, before a planned stop.
+// TransferLeadership asks a leader to transfer its leadership to another voter, before a planned stop.
 type TransferLeadership struct {
 	Ticket uint64
 }
