--- /dev/null
+++ b/controller/dispatcher/agent.go
@@ -0,0 +1,118 @@
+package dispatcher
+
+import (
+	"slices"
+	"time"
+
+	"oleandertally/core/specifier"
+)
+
+// agent is an agent process and the worker whose leases it holds.
+type agent struct {
+	name            string
+	stream          Stream // 0 while disconnected
+	incarnation     specifier.Incarnation
+	worker          *specifier.LeasedWorker // nil until reported
+	settled         bool                    // every run is listed, and no start with an earlier fencing token can happen any more
+	leaving         bool                    // the agent is being stopped
+	listed          bool                    // has sent its list of runs on this stream and in this term
+	enrolling       bool                    // an Enroll or Dismiss command is in the log and not committed
+	noStartsUntil   time.Time               // after a refused start, because another one would be refused too
+	renewedAt       time.Time
+	grantUntil      time.Time
+	orderCount      uint64 // orders with a start or a stop
+	used            specifier.Resources
+	unknownRuns     int // runs whose resources are not known
+	runs            map[specifier.RunKey]*run
+	handledEnd      uint64 // number of the last end handled in this incarnation of the worker
+	acknowledgedEnd uint64 // number of the last end that need not be reported again
+	ends            []*pendingEnd
+	health          health
+}
+
+// free returns the unused part of the worker's capacity. Runs that are being stopped still use their resources.
+func (a *agent) free() specifier.Resources {
+	if a.worker == nil || a.unknownRuns > 0 {
+		return specifier.Resources{MilliCores: -1, Memory: -1, Accelerators: -1}
+	}
+	return a.worker.Capacity.Minus(a.used)
+}
+
+func (a *agent) add(r *run) {
+	a.runs[r.key] = r
+	a.used = a.used.Plus(r.resources)
+	if r.resources == (specifier.Resources{}) {
+		a.unknownRuns++
+	}
+}
+
+// setResources sets the resources of a run for which they were not known.
+func (a *agent) setResources(r *run, resources specifier.Resources) {
+	if r.resources != (specifier.Resources{}) || a.runs[r.key] != r {
+		return
+	}
+	a.remove(r)
+	r.resources = resources
+	a.add(r)
+}
+
+func (a *agent) remove(r *run) {
+	if a.runs[r.key] != r {
+		return
+	}
+	delete(a.runs, r.key)
+	a.used = a.used.Minus(r.resources)
+	if r.resources == (specifier.Resources{}) {
+		a.unknownRuns--
+	}
+}
+
+// sortedRuns returns the runs by task and run number.
+func (a *agent) sortedRuns() []*run {
+	list := make([]*run, 0, len(a.runs))
+	for _, each := range a.runs {
+		list = append(list, each)
+	}
+	slices.SortFunc(list, func(a, b *run) int {
+		if a.key.Task != b.key.Task {
+			if a.key.Task < b.key.Task {
+				return -1
+			}
+			return 1
+		}
+		return int(int64(a.key.Run) - int64(b.key.Run))
+	})
+	return list
+}
+
+// countRuns returns how many tasks of a step run at this agent.
+func (a *agent) countRuns(j *job, step int) int {
+	total := 0
+	for _, each := range a.runs {
+		if each.task != nil && each.task.job == j && each.task.step == step {
+			total++
+		}
+	}
+	return total
+}
+
+// advanceAcknowledged moves acknowledgedEnd past the ends that are recorded, and reports whether it moved.
+func (a *agent) advanceAcknowledged() bool {
+	before := a.acknowledgedEnd
+	for len(a.ends) > 0 && a.ends[0].recorded {
+		a.acknowledgedEnd = a.ends[0].number
+		a.ends = a.ends[1:]
+	}
+	return a.acknowledgedEnd > before
+}
+
+// markRecorded marks the end of the run as recorded, and reports whether it was a run of this worker.
+func (a *agent) markRecorded(key specifier.RunKey) bool {
+	found := false
+	for _, end := range a.ends {
+		if !end.recorded && end.key == key {
+			end.recorded, found = true, true
+		}
+	}
+	return found
+}
--- a/controller/dispatcher/agentdisconnected.go
+++ b/controller/dispatcher/agentdisconnected.go
@@ -1,4 +1,4 @@
 package dispatcher
 
-// AgentDisconnected tells that the stream of an agent ended.
+// AgentDisconnected reports that the stream of an agent ended.
 type AgentDisconnected struct{ Stream Stream }
--- a/controller/dispatcher/applied.go
+++ b/controller/dispatcher/applied.go
@@ -2,5 +2,5 @@
 
 import "oleandertally/core/specifier"
 
-// Applied is a committed command.
+// Applied reports a committed command.
 type Applied struct{ Command specifier.QueueCommand }
--- a/controller/dispatcher/becamefollower.go
+++ b/controller/dispatcher/becamefollower.go
@@ -1,4 +1,4 @@
 package dispatcher
 
-// BecameFollower tells that this controller does not lead.
+// BecameFollower reports that this controller does not lead.
 type BecameFollower struct{}
--- a/controller/dispatcher/becameleader.go
+++ b/controller/dispatcher/becameleader.go
@@ -1,4 +1,4 @@
 package dispatcher
 
-// BecameLeader tells that this controller leads from now on and has applied every earlier command.
+// BecameLeader reports that this controller leads from now on and has applied every earlier command.
 type BecameLeader struct{ Term uint64 }
--- a/controller/dispatcher/bench_test.go
+++ b/controller/dispatcher/bench_test.go
@@ -9,7 +9,7 @@
 	"oleandertally/state/jobrecorder"
 )
 
-// BenchmarkEnds measures the control goroutine's time for the end of a task and the start of the next one, at 64 and 940 workers
+// BenchmarkEnds measures the control goroutine's time for the end of a task and the start of the next one, with 64 and 940 workers
 // that are all full while jobs wait.
 func BenchmarkEnds(b *testing.B) {
 	for _, workers := range []int{64, 940} {
@@ -35,10 +35,10 @@
 			}
 			for agent := 1; agent <= workers; agent++ {
 				for range 2 {
-					report := specifier.LeaseReport{Agent: name(agent), Incarnation: 1, Renewal: 1, Settled: true, Listed: true,
-						Worker: &specifier.LeasedWorker{ID: name(agent), Born: time.Unix(1, 0), Pool: "p", Capacity: specifier.Resources{MilliCores: 16000, Memory: 1 << 15}}}
-					if h := d.holders[name(agent)]; h != nil {
-						report.Token = d.fence(h)
+					report := specifier.LeaseReport{Agent: agentName(agent), Incarnation: 1, Renewal: 1, Settled: true, Listed: true,
+						Worker: &specifier.LeasedWorker{ID: agentName(agent), Born: time.Unix(1, 0), Pool: "p", Capacity: specifier.Resources{MilliCores: 16000, Memory: 1 << 15}}}
+					if a := d.agents[agentName(agent)]; a != nil {
+						report.Token = d.fence(a)
 					}
 					take(step(ReportReceived{Stream: Stream(agent), Report: report}))
 				}
@@ -62,11 +62,11 @@
 				if i%4 == 0 {
 					renewal = uint64(i)
 				}
-				take(step(ReportReceived{Stream: at.stream, Report: specifier.LeaseReport{Agent: name(int(at.stream)), Incarnation: 1, Renewal: renewal,
+				take(step(ReportReceived{Stream: at.stream, Report: specifier.LeaseReport{Agent: agentName(int(at.stream)), Incarnation: 1, Renewal: renewal,
 					Ends: []specifier.RunEnd{{Number: numbers[at.stream], Key: at.key, How: specifier.EndDone}}}}))
 				if i%workers == 0 {
 					for agent := 1; agent <= workers; agent++ {
-						d.holders[name(agent)].renewed = now
+						d.agents[agentName(agent)].renewedAt = now
 					}
 				}
 			}
@@ -74,7 +74,7 @@
 	}
 }
 
-// runAt is a run at the agent of a stream.
+// runAt is a run and the stream of its agent.
 type runAt struct {
 	stream Stream
 	key    specifier.RunKey
--- a/controller/dispatcher/call.go
+++ b/controller/dispatcher/call.go
@@ -7,14 +7,14 @@
 	"oleandertally/core/specifier"
 )
 
-// askWithin is how long a question for the state of a job waits while the job may end at any moment. Callers ask when their work should
-// be done, and learn of it a poll later otherwise; recording an end takes less.
-const askWithin = 40 * time.Millisecond
+// askTimeout is how long a query for the state of a job waits while the job may end at any moment. Callers ask when their job should
+// have ended, and would otherwise learn of the end one poll later. Recording an end takes less time.
+const askTimeout = 40 * time.Millisecond
 
-// unavailable tells the caller that another controller may know.
+// unavailable is the reply of a controller that does not lead; another controller may be able to answer.
 var unavailable = specifier.QueueReply{Result: specifier.QueueUnavailable, Detail: "this controller does not lead"}
 
-func (d *Dispatcher) called(event CallReceived) {
+func (d *Dispatcher) handleCall(event CallReceived) {
 	from := waiter{stream: event.Stream, sequence: event.Sequence}
 	if event.Call.Verb == specifier.AbandonQueued {
 		d.abandon(from)
@@ -26,10 +26,10 @@
 	}
 	switch event.Call.Verb {
 	case specifier.PutManifest:
-		d.put(from, event.Call.Manifest)
+		d.putManifest(from, event.Call.Manifest)
 		return
 	case specifier.GetManifest:
-		d.get(from)
+		d.getManifest(from)
 		return
 	}
 	if d.Recorder.Manifest().Version == 0 {
@@ -45,7 +45,7 @@
 	case specifier.SubmitQueued:
 		d.submit(from, event.Call, queue, id)
 	case specifier.AskQueued:
-		d.ask(from, queue, id)
+		d.askState(from, queue, id)
 	case specifier.CancelQueued:
 		d.cancel(from, queue, id)
 	default:
@@ -53,8 +53,8 @@
 	}
 }
 
-// put proposes a manifest. One that is not newer changes nothing and is acknowledged.
-func (d *Dispatcher) put(from waiter, manifest *specifier.Manifest) {
+// putManifest proposes a manifest. A manifest that is not newer than the one in force changes nothing and is acknowledged.
+func (d *Dispatcher) putManifest(from waiter, manifest *specifier.Manifest) {
 	if manifest == nil || manifest.Version == 0 || len(manifest.Document) > specifier.MaxManifest {
 		d.reply(from, specifier.QueueReply{Result: specifier.QueueInvalid, Detail: "the manifest has no version or is too large"})
 		return
@@ -63,11 +63,11 @@
 		d.reply(from, specifier.QueueReply{Result: specifier.QueueOK})
 		return
 	}
-	d.puts[manifest.Version] = append(d.puts[manifest.Version], from)
+	d.manifestWaiters[manifest.Version] = append(d.manifestWaiters[manifest.Version], from)
 	d.propose(specifier.QueueCommand{Manifest: manifest})
 }
 
-func (d *Dispatcher) get(from waiter) {
+func (d *Dispatcher) getManifest(from waiter) {
 	manifest := d.Recorder.Manifest()
 	if manifest.Version == 0 {
 		d.reply(from, specifier.QueueReply{Result: specifier.QueueUnavailable, Detail: "there is no manifest yet"})
@@ -76,8 +76,8 @@
 	d.reply(from, specifier.QueueReply{Result: specifier.QueueOK, Document: manifest.Document})
 }
 
-// ask answers the state of a job, or how many jobs of the queue have not begun.
-func (d *Dispatcher) ask(from waiter, queue specifier.Queue, id string) {
+// askState replies with the state of a job, or without an ID with the number of jobs of the queue that have not started.
+func (d *Dispatcher) askState(from waiter, queue specifier.Queue, id string) {
 	if id == "" {
 		pending := 0
 		for _, j := range d.jobs {
@@ -97,8 +97,8 @@
 	if j := d.jobs[id]; j != nil && state == specifier.JobQueued && j.started {
 		state = specifier.JobRunning
 	}
-	if j := d.jobs[id]; j != nil && !state.Ended() && j.ending() {
-		until := d.now.Add(askWithin)
+	if j := d.jobs[id]; j != nil && !state.Ended() && j.mayEnd() {
+		until := d.now.Add(askTimeout)
 		j.watchers = append(j.watchers, watcher{from: from, until: until})
 		d.wake(until, timer{job: j})
 		return
@@ -106,15 +106,15 @@
 	d.reply(from, specifier.QueueReply{Result: specifier.QueueOK, State: state})
 }
 
-// tell answers the questions for a job's state that have waited long enough.
-func (d *Dispatcher) tell(j *job) {
+// expireWatchers answers the waiting queries for a job's state that have waited for askTimeout.
+func (d *Dispatcher) expireWatchers(j *job) {
 	for len(j.watchers) > 0 && !d.now.Before(j.watchers[0].until) {
 		d.reply(j.watchers[0].from, specifier.QueueReply{Result: specifier.QueueOK, State: specifier.JobRunning})
 		j.watchers = j.watchers[1:]
 	}
 }
 
-// cancel records the cancellation; the reply follows when it is recorded.
+// cancel cancels a transient job at once. The cancellation of a recorded job is proposed, and the reply follows when it is committed.
 func (d *Dispatcher) cancel(from waiter, queue specifier.Queue, id string) {
 	record, j := d.Recorder.Job(id), d.jobs[id]
 	known := record != nil && record.Job.Queue == queue.Name || j != nil && j.Queue == queue.Name
@@ -122,7 +122,7 @@
 	case !known:
 		d.reply(from, specifier.QueueReply{Result: specifier.JobGone, Detail: "no such job"})
 	case j != nil && j.Transient:
-		d.stopJob(j)
+		d.stopRuns(j)
 		d.finish(j, specifier.QueueReply{Result: specifier.QueueOK, State: specifier.JobCancelled})
 		d.reply(from, specifier.QueueReply{Result: specifier.QueueOK, State: specifier.JobCancelled})
 	case record != nil && record.State.Ended() || j == nil:
@@ -135,7 +135,7 @@
 	}
 }
 
-// abandon notes that a caller no longer waits. A transient job that nobody waits for starts no further task.
+// abandon removes a call whose caller no longer waits. A transient job without waiting calls starts no further task.
 func (d *Dispatcher) abandon(from waiter) {
 	j := d.calls[from]
 	if j == nil {
@@ -149,21 +149,21 @@
 		}
 	}
 	if j.Transient && len(j.waiters) == 0 && !j.ended {
-		j.forgetAt = d.now.Add(d.Settings.KeepAfter)
-		d.wake(j.forgetAt, timer{job: j})
-		d.emit(LogEvent{Event: "JobAbandoned", Job: j.ID, Queue: j.Queue, Age: d.now.Sub(j.arrived), Count: j.left})
+		j.evictAt = d.now.Add(d.Settings.KeepAfter)
+		d.wake(j.evictAt, timer{job: j})
+		d.emit(LogEvent{Event: "JobAbandoned", Job: j.ID, Queue: j.Queue, Age: d.now.Sub(j.arrived), Count: j.remaining})
 	}
 }
 
-func (d *Dispatcher) callerGone(stream Stream) {
-	var gone []waiter
+func (d *Dispatcher) callerDisconnected(stream Stream) {
+	var abandoned []waiter
 	for from := range d.calls {
 		if from.stream == stream {
-			gone = append(gone, from)
+			abandoned = append(abandoned, from)
 		}
 	}
-	sortWaiters(gone)
-	for _, from := range gone {
+	sortWaiters(abandoned)
+	for _, from := range abandoned {
 		d.abandon(from)
 	}
 }
--- a/controller/dispatcher/callerdisconnected.go
+++ b/controller/dispatcher/callerdisconnected.go
@@ -1,4 +1,4 @@
 package dispatcher
 
-// CallerDisconnected tells that the stream of an entry ended.
+// CallerDisconnected reports that the stream of an entry ended.
 type CallerDisconnected struct{ Stream Stream }
--- a/controller/dispatcher/callreceived.go
+++ b/controller/dispatcher/callreceived.go
@@ -2,7 +2,7 @@
 
 import "oleandertally/core/specifier"
 
-// CallReceived is a call of an entry. Sequence numbers the calls of a stream.
+// CallReceived carries a call of an entry. Sequence numbers the calls of a stream.
 type CallReceived struct {
 	Stream   Stream
 	Sequence uint64
--- a/controller/dispatcher/commit.go
+++ b/controller/dispatcher/commit.go
@@ -7,7 +7,7 @@
 	"oleandertally/core/specifier"
 )
 
-// apply applies a committed command, and answers for it when this controller leads.
+// apply applies a committed command. A leader also continues what waits for the command and answers its callers.
 func (d *Dispatcher) apply(command specifier.QueueCommand) {
 	d.Recorder.Apply(command)
 	if !d.leading {
@@ -21,26 +21,26 @@
 	case command.Cancel != "":
 		d.cancelled(command.Cancel)
 	case command.Enroll != "":
-		if h := d.holders[command.Enroll]; h != nil {
-			h.enrolling = false
+		if a := d.agents[command.Enroll]; a != nil {
+			a.enrolling = false
 		}
 	case command.Dismiss != "":
-		if h := d.holders[command.Dismiss]; h != nil {
-			h.enrolling = false
-			d.enroll(h)
+		if a := d.agents[command.Dismiss]; a != nil {
+			a.enrolling = false
+			d.enroll(a)
 		}
 	}
 	for _, end := range command.Ends {
-		d.recorded(end)
+		d.endRecorded(end)
 	}
 }
 
 func (d *Dispatcher) manifestChanged(manifest *specifier.Manifest) {
 	d.emit(LogEvent{Event: "ManifestInForce", Count: int(d.Recorder.Manifest().Version)})
-	for _, from := range d.puts[manifest.Version] {
+	for _, from := range d.manifestWaiters[manifest.Version] {
 		d.reply(from, specifier.QueueReply{Result: specifier.QueueOK})
 	}
-	delete(d.puts, manifest.Version)
+	delete(d.manifestWaiters, manifest.Version)
 	for _, j := range d.jobs {
 		if queue, known := d.Recorder.Manifest().Named(j.Queue); known {
 			j.queue = queue
@@ -48,7 +48,7 @@
 	}
 }
 
-// accepted starts a job that is recorded.
+// accepted answers for a job that is now recorded, and queues its first tasks.
 func (d *Dispatcher) accepted(id string) {
 	j := d.jobs[id]
 	if j == nil || j.recorded {
@@ -56,7 +56,7 @@
 	}
 	j.recorded = true
 	d.answer(j, specifier.QueueReply{Result: specifier.QueueOK, State: specifier.JobQueued})
-	d.release(j)
+	d.enqueueUnblocked(j)
 }
 
 func (d *Dispatcher) answer(j *job, reply specifier.QueueReply) {
@@ -72,16 +72,16 @@
 	if j == nil || j.Transient {
 		return
 	}
-	d.stopJob(j)
+	d.stopRuns(j)
 	d.finish(j, specifier.QueueReply{Result: specifier.QueueOK, State: specifier.JobCancelled})
 }
 
-// recorded goes on after the end of a run of a recorded job, which this leader or an earlier one proposed.
-func (d *Dispatcher) recorded(end specifier.TaskEnd) {
+// endRecorded handles the committed end of a run of a recorded job, which this leader or an earlier one proposed.
+func (d *Dispatcher) endRecorded(end specifier.TaskEnd) {
 	name := taskName(end.Job, end.Step, end.Index)
-	for _, h := range d.named {
-		if h.record(specifier.RunKey{Task: name, Run: end.Run}) {
-			d.acknowledge(h)
+	for _, a := range d.agentsByName {
+		if a.markRecorded(specifier.RunKey{Task: name, Run: end.Run}) {
+			d.acknowledge(a)
 		}
 	}
 	t := d.task(name)
@@ -89,7 +89,7 @@
 		return
 	}
 	record := d.Recorder.Job(end.Job)
-	t.recording = slices.DeleteFunc(t.recording, func(run uint64) bool { return run == end.Run })
+	t.recordingRuns = slices.DeleteFunc(t.recordingRuns, func(run uint64) bool { return run == end.Run })
 	switch {
 	case end.How == specifier.EndDone:
 		if t.run != nil {
@@ -97,38 +97,38 @@
 			d.stop(t.run)
 			t.run = nil
 		}
-		d.done(t)
+		d.taskCompleted(t)
 	case record != nil && record.State == specifier.JobFailed:
-		d.fail(t.job)
-	case t.state == taskEnding && len(t.recording) == 0:
+		d.failJob(t.job)
+	case t.state == taskEnding && len(t.recordingRuns) == 0:
 		d.enqueue(t)
 	}
 }
 
-// recordAgain is how long after the log did not take the end of a task it is proposed again.
-const recordAgain = 50 * time.Millisecond
+// recordRetryInterval is how long after the log rejected a task's end the end is proposed again.
+const recordRetryInterval = 50 * time.Millisecond
 
-// recordUnrecorded proposes the ends again that the log did not take.
-func (d *Dispatcher) recordUnrecorded() {
-	if len(d.unrecorded) == 0 || d.now.Before(d.recordAt) {
+// retryRejectedEnds proposes again the ends that the log rejected.
+func (d *Dispatcher) retryRejectedEnds() {
+	if len(d.rejectedEnds) == 0 || d.now.Before(d.retryEndsAt) {
 		return
 	}
-	ends := d.unrecorded
-	d.unrecorded = nil
+	ends := d.rejectedEnds
+	d.rejectedEnds = nil
 	for _, end := range ends {
 		d.propose(specifier.QueueCommand{Ends: []specifier.TaskEnd{end}})
 	}
 }
 
-// dropped answers for a command that the log did not take. Its callers may ask again.
-func (d *Dispatcher) dropped(command specifier.QueueCommand) {
+// commandRejected answers the callers of a command that the log did not accept; they may repeat the call. Ends of tasks are proposed again.
+func (d *Dispatcher) commandRejected(command specifier.QueueCommand) {
 	busy := specifier.QueueReply{Result: specifier.QueueUnavailable, Detail: "the log does not take the change now"}
 	switch {
 	case command.Manifest != nil:
-		for _, from := range d.puts[command.Manifest.Version] {
+		for _, from := range d.manifestWaiters[command.Manifest.Version] {
 			d.reply(from, busy)
 		}
-		delete(d.puts, command.Manifest.Version)
+		delete(d.manifestWaiters, command.Manifest.Version)
 	case command.Accept != nil:
 		if j := d.jobs[command.Accept.ID]; j != nil && !j.recorded {
 			d.answer(j, busy)
@@ -138,15 +138,15 @@
 		if j := d.jobs[command.Cancel]; j != nil {
 			d.answer(j, busy)
 			j.cancelled = false
-			d.release(j)
+			d.enqueueUnblocked(j)
 		}
 	case len(command.Ends) > 0:
-		d.unrecorded = append(d.unrecorded, command.Ends...)
-		d.recordAt = d.now.Add(recordAgain)
-		d.wake(d.recordAt, timer{})
+		d.rejectedEnds = append(d.rejectedEnds, command.Ends...)
+		d.retryEndsAt = d.now.Add(recordRetryInterval)
+		d.wake(d.retryEndsAt, timer{})
 	case command.Enroll != "" || command.Dismiss != "":
-		if h := d.holders[command.Enroll+command.Dismiss]; h != nil {
-			h.enrolling = false
+		if a := d.agents[command.Enroll+command.Dismiss]; a != nil {
+			a.enrolling = false
 		}
 	}
 }
--- a/controller/dispatcher/dispatcher.go
+++ b/controller/dispatcher/dispatcher.go
@@ -15,33 +15,33 @@
 	Settings Settings
 	// Leading reports whether this controller may answer as leader.
 	Leading func(now time.Time) bool
-	// EnoughVoters reports whether enough controllers hold the log for changes to be accepted.
+	// EnoughVoters reports whether enough controllers replicate the log for changes to be accepted.
 	EnoughVoters func() bool
 
-	now      time.Time
-	actions  []Action
-	leading  bool
-	term     uint64
-	epochs   map[string]uint64 // processes of each agent that attached in this term
-	gather   time.Time         // until when a new leader waits for the agents; zero afterwards
-	advanced time.Time         // up to here, time was added to the log's clock
-	jobs     map[string]*job
-	calls    map[waiter]*job
-	holders  map[string]*holder
-	named    []*holder // the same, by name
-	usables  []*holder // of the present placement
-	streams  map[Stream]*holder
-	orphans  map[string]*run // newest run of a task that no job claims, by task name
-	finished map[string]specifier.RunEnd
-	ready    readyQueue
-	timers   container.Heap[timer]
-	puts     map[uint64][]waiter // by version of the manifest
-	order    map[*holder]*specifier.LeaseOrder
-	ordered  []*holder
-	waiting  int // tasks that are ready or blocked
-
-	unrecorded []specifier.TaskEnd // that the log did not take
-	recordAt   time.Time           // when they are proposed again
+	now             time.Time
+	actions         []Action
+	leading         bool
+	term            uint64
+	epochs          map[string]uint64 // by agent name; rises with each new process of the agent in this term
+	recoveryUntil   time.Time         // when a new leader stops waiting for the agents' lists; zero once recovery has ended
+	clockAdvancedAt time.Time         // time up to which the replicated clock was advanced
+	jobs            map[string]*job
+	calls           map[waiter]*job
+	agents          map[string]*agent
+	agentsByName    []*agent // the same agents, sorted by name
+	usableAgents    []*agent // agents that may get tasks, collected by each placement
+	streams         map[Stream]*agent
+	orphans         map[string]*run // newest run of each task that no job claims, by task name
+	unclaimedEnds   map[string]specifier.RunEnd
+	ready           readyQueue
+	timers          container.Heap[timer]
+	manifestWaiters map[uint64][]waiter // calls that wait for a manifest, by its version
+	orders          map[*agent]*specifier.LeaseOrder
+	orderedAgents   []*agent
+	waitingTasks    int // tasks in the ready queue
+
+	rejectedEnds []specifier.TaskEnd // ends of tasks that the log did not accept
+	retryEndsAt  time.Time           // when rejectedEnds are proposed again
 }
 
 // Step handles one event.
@@ -52,21 +52,21 @@
 	}
 	switch event := event.(type) {
 	case BecameLeader:
-		d.lead(event.Term)
+		d.becomeLeader(event.Term)
 	case BecameFollower:
 		d.reset()
 	case Applied:
 		d.apply(event.Command)
 	case Rejected:
-		d.dropped(event.Command)
+		d.commandRejected(event.Command)
 	case CallReceived:
-		d.called(event)
+		d.handleCall(event)
 	case CallerDisconnected:
-		d.callerGone(event.Stream)
+		d.callerDisconnected(event.Stream)
 	case ReportReceived:
-		d.reported(event)
+		d.handleReport(event)
 	case AgentDisconnected:
-		d.agentGone(event.Stream)
+		d.agentDisconnected(event.Stream)
 	}
 	return d.flush()
 }
@@ -101,27 +101,27 @@
 		d.expireJob(due.job)
 	case due.run != nil:
 		d.expireRun(due.run)
-	case due.holder != nil:
-		d.expireHolder(due.holder)
+	case due.agent != nil:
+		d.expireAgent(due.agent)
 	}
 }
 
-// flush places tasks and returns the actions.
+// flush starts the tasks that fit and returns the collected actions.
 func (d *Dispatcher) flush() []Action {
 	if d.leading && d.Leading(d.now) {
-		d.endGather()
-		d.recordUnrecorded()
+		d.endRecovery()
+		d.retryRejectedEnds()
 		d.place()
 	}
-	for _, h := range d.ordered {
-		if h.stream != 0 {
-			order := d.order[h]
-			order.Token, order.Orders = d.fence(h), h.orders
-			d.emit(Order{Stream: h.stream, Order: *order})
+	for _, a := range d.orderedAgents {
+		if a.stream != 0 {
+			order := d.orders[a]
+			order.Token, order.Orders = d.fence(a), a.orderCount
+			d.emit(Order{Stream: a.stream, Order: *order})
 		}
 	}
-	clear(d.order)
-	d.ordered = d.ordered[:0]
+	clear(d.orders)
+	d.orderedAgents = d.orderedAgents[:0]
 	actions := d.actions
 	d.actions = nil
 	return actions
@@ -134,29 +134,30 @@
 	d.timers.Push(t)
 }
 
-// orderTo returns the order that is being made for an agent in this step.
-func (d *Dispatcher) orderTo(h *holder) *specifier.LeaseOrder {
-	order := d.order[h]
+// orderTo returns the order to an agent that this step is building.
+func (d *Dispatcher) orderTo(a *agent) *specifier.LeaseOrder {
+	order := d.orders[a]
 	if order == nil {
 		order = &specifier.LeaseOrder{}
-		d.order[h] = order
-		d.ordered = append(d.ordered, h)
+		d.orders[a] = order
+		d.orderedAgents = append(d.orderedAgents, a)
 	}
 	return order
 }
 
-// command returns the order for a start or a stop, which is counted.
-func (d *Dispatcher) command(h *holder) *specifier.LeaseOrder {
-	order := d.orderTo(h)
+// countedOrder returns the order to an agent for a start or a stop, and counts it. Reports carry the count of the orders that
+// the agent has received, so that a run whose start is still under way is not taken for lost.
+func (d *Dispatcher) countedOrder(a *agent) *specifier.LeaseOrder {
+	order := d.orderTo(a)
 	if len(order.Starts) == 0 && len(order.Stops) == 0 {
-		h.orders++
+		a.orderCount++
 	}
 	return order
 }
 
 func (d *Dispatcher) propose(command specifier.QueueCommand) {
-	command.Advance = min(max(d.now.Sub(d.advanced), 0), specifier.MaxAdvance)
-	d.advanced = d.now
+	command.Advance = min(max(d.now.Sub(d.clockAdvancedAt), 0), specifier.MaxAdvance)
+	d.clockAdvancedAt = d.now
 	d.emit(Propose{Command: command})
 }
 
--- a/controller/dispatcher/doc.go
+++ b/controller/dispatcher/doc.go
@@ -2,7 +2,7 @@
 // pure: a step takes the time and an event and returns actions.
 //
 // Tasks run under leases. An agent may keep its worker's tasks running until the grant that it asked for last ends, and
-// a grant is given only while this controller leads for sure. A task whose agent is silent therefore ends at most
+// a grant is given only while this controller certainly leads. A task whose agent is unreachable therefore ends at most
 // GrantSpan after the agent's last renewal, and is started again only after that. A new leader starts nothing until every
 // agent that may run tasks has listed them, or until the grants of former leaders have ended.
 package dispatcher
--- a/controller/dispatcher/leadership.go
+++ b/controller/dispatcher/leadership.go
@@ -9,30 +9,31 @@
 	"oleandertally/core/specifier"
 )
 
-// reset forgets everything that only a leader knows. Calls in flight are not answered: their entries see that the
-// stream ends and call the next leader.
+// reset deletes the state that only a leader has. Pending calls get no reply: their entries see that the stream ends and call the
+// next leader.
 func (d *Dispatcher) reset() {
 	d.leading = false
 	d.epochs = make(map[string]uint64)
-	d.gather = time.Time{}
+	d.recoveryUntil = time.Time{}
 	d.jobs, d.calls = make(map[string]*job), make(map[waiter]*job)
-	d.holders, d.streams = make(map[string]*holder), make(map[Stream]*holder)
-	d.named = nil
-	d.orphans, d.finished = make(map[string]*run), make(map[string]specifier.RunEnd)
-	d.ready, d.waiting = readyQueue{}, 0
+	d.agents, d.streams = make(map[string]*agent), make(map[Stream]*agent)
+	d.agentsByName = nil
+	d.orphans, d.unclaimedEnds = make(map[string]*run), make(map[string]specifier.RunEnd)
+	d.ready, d.waitingTasks = readyQueue{}, 0
 	d.timers = container.Heap[timer]{Less: earlier}
-	d.puts, d.order = make(map[uint64][]waiter), make(map[*holder]*specifier.LeaseOrder)
-	d.ordered, d.unrecorded = nil, nil
+	d.manifestWaiters, d.orders = make(map[uint64][]waiter), make(map[*agent]*specifier.LeaseOrder)
+	d.orderedAgents, d.rejectedEnds = nil, nil
 }
 
-// lead begins to lead: recorded jobs go on, and nothing is started before it is known what runs.
-func (d *Dispatcher) lead(term uint64) {
+// becomeLeader restores the recorded jobs that have not ended, and begins the recovery: no task is started before the agents have
+// listed their runs.
+func (d *Dispatcher) becomeLeader(term uint64) {
 	d.reset()
-	d.leading, d.term, d.advanced = true, term, d.now
+	d.leading, d.term, d.clockAdvancedAt = true, term, d.now
 	d.emit(LogEvent{Event: "QueuesLed", Count: len(d.Recorder.Roster())})
 	if len(d.Recorder.Roster()) > 0 {
-		d.gather = d.now.Add(d.Settings.GrantSpan + d.Settings.GrantMargin)
-		d.wake(d.gather, timer{})
+		d.recoveryUntil = d.now.Add(d.Settings.GrantSpan + d.Settings.GrantMargin)
+		d.wake(d.recoveryUntil, timer{})
 	}
 	for _, id := range d.Recorder.Open() {
 		record := d.Recorder.Job(id)
@@ -41,46 +42,46 @@
 		j.recorded = true
 		j.started = record.State == specifier.JobRunning
 		d.jobs[id] = j
-		j.all(func(t *task) {
+		j.eachTask(func(t *task) {
 			if record.Done[t.step][t.index] {
 				t.state = taskDone
-				j.open[t.step]--
-				j.left--
+				j.openTasks[t.step]--
+				j.remaining--
 			}
 		})
-		d.release(j)
+		d.enqueueUnblocked(j)
 	}
 }
 
-// fenceTerm is the factor of the term in a fencing token: a later leader's tokens are always higher.
-const fenceTerm = 1 << 16
+// fenceTermFactor multiplies the term in a fencing token, so that a later leader's tokens are always higher.
+const fenceTermFactor = 1 << 16
 
-// fence returns the token of the orders to an agent. It rises with each process of the agent, so that a worker carries out no
-// start of an earlier one.
-func (d *Dispatcher) fence(h *holder) uint64 { return d.term*fenceTerm + d.epochs[h.name] }
+// fence returns the fencing token of the orders to an agent. The token rises with each process of the agent, so that a worker carries
+// out no start of an earlier process.
+func (d *Dispatcher) fence(a *agent) uint64 { return d.term*fenceTermFactor + d.epochs[a.name] }
 
-// endGather ends the wait of a new leader when every agent that may run tasks has listed them, or cannot hold a
-// lease any more.
-func (d *Dispatcher) endGather() {
-	if d.gather.IsZero() {
+// endRecovery ends the wait of a new leader when every enrolled agent has listed its runs, or at recoveryUntil, when the grants of
+// earlier leaders have ended. An agent that can't hold a lease any more is then dismissed.
+func (d *Dispatcher) endRecovery() {
+	if d.recoveryUntil.IsZero() {
 		return
 	}
-	late := !d.now.Before(d.gather)
+	late := !d.now.Before(d.recoveryUntil)
 	for _, name := range d.Recorder.Roster() {
-		h := d.holders[name]
-		if h != nil && h.listed && h.settled {
+		a := d.agents[name]
+		if a != nil && a.listed && a.settled {
 			continue
 		}
 		if !late {
 			return
 		}
-		if h == nil || !d.now.Before(h.grantUntil.Add(d.Settings.GrantMargin)) {
+		if a == nil || !d.now.Before(a.grantUntil.Add(d.Settings.GrantMargin)) {
 			d.propose(specifier.QueueCommand{Dismiss: name})
 		}
 	}
-	d.gather = time.Time{}
-	d.emit(LogEvent{Event: "AgentsListed", Count: len(d.holders)})
+	d.recoveryUntil = time.Time{}
+	d.emit(LogEvent{Event: "AgentsListed", Count: len(d.agents)})
 	for _, name := range slices.Sorted(maps.Keys(d.orphans)) {
-		d.watchOrphan(d.orphans[name])
+		d.scheduleOrphanCheck(d.orphans[name])
 	}
 }
--- a/controller/dispatcher/logevent.go
+++ b/controller/dispatcher/logevent.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// LogEvent is one decision for the log. Fields that do not apply are zero.
+// LogEvent writes one decision to the log. Fields that do not apply are zero.
 type LogEvent struct {
 	Event  string
 	Job    string
@@ -11,6 +11,8 @@
 	Agent  string
 	Queue  string
 	Detail string
-	Age    time.Duration // of the input that decided: since the job arrived, or since the agent's last renewal
-	Count  int           // tasks of the job that are not done
+	Age    time.Duration // since the job arrived, the run started or the agent last renewed; of JobArrived the critical path
+	// Count is, for a job, its tasks that are not done; JobRefused: tasks in the ready queue; ManifestInForce: the version;
+	// QueuesLed and AgentsListed: agents; AgentLost: runs.
+	Count int
 }
--- a/controller/dispatcher/order.go
+++ b/controller/dispatcher/order.go
@@ -2,7 +2,7 @@
 
 import "oleandertally/core/specifier"
 
-// Order goes to an agent.
+// Order sends an order to an agent.
 type Order struct {
 	Stream Stream
 	Order  specifier.LeaseOrder
--- a/controller/dispatcher/pendingend.go
+++ b/controller/dispatcher/pendingend.go
@@ -2,9 +2,9 @@
 
 import "oleandertally/core/specifier"
 
-// pendingEnd is an end that a worker listed. It may be noted once it is recorded.
+// pendingEnd is an end that a worker reported and that is not acknowledged yet. It may be acknowledged once it is recorded.
 type pendingEnd struct {
 	number   uint64
-	key      specifier.RunKey // whose end is being recorded
+	key      specifier.RunKey // run whose end is being recorded
 	recorded bool
 }
--- a/controller/dispatcher/placement.go
+++ b/controller/dispatcher/placement.go
@@ -8,55 +8,55 @@
 )
 
 const (
-	// missesMost is how many tasks that fit nowhere are passed over in one placement.
-	missesMost = 24
-	// demoted moves a task behind those that can still end in time.
-	demoted = 10 * time.Second
-	// estimateMargin is the part of an estimate, as a divisor, and startMargin the time for messages, that are kept in reserve: a task that
-	// would only just end in time mostly ends late, and holds back one that has time.
-	estimateMargin = 4
-	startMargin    = 12 * time.Millisecond
-	// runTerm is the factor of the term in the number of a run: a later leader's runs are always higher.
-	runTerm = 1 << 12
+	// maxMisses is the number of tasks without a fitting worker after which a placement stops.
+	maxMisses = 24
+	// latePenalty is added to the key of a task that can no longer end in time, to order it behind those that can.
+	latePenalty = 10 * time.Second
+	// An estimate divided by estimateMarginDivisor, and startMargin for messages, are kept in reserve: a task that would only just end in
+	// time mostly ends late, and delays a task that has time.
+	estimateMarginDivisor = 4
+	startMargin           = 12 * time.Millisecond
+	// runTermFactor multiplies the term in the number of a run, so that a later leader's numbers are always higher.
+	runTermFactor = 1 << 12
 )
 
-// key orders tasks by the latest time at which they should start. A task that can't end in time any more
-// comes after all that can.
+// key returns a task's place in the ready queue: the latest time at which the task should start, plus latePenalty when the task can
+// no longer end in time.
 func (d *Dispatcher) key(t *task) time.Time {
 	estimate := t.job.Steps[t.step].Estimate
-	start := t.job.due.Add(-estimate - estimate/estimateMargin - startMargin)
+	start := t.job.due.Add(-estimate - estimate/estimateMarginDivisor - startMargin)
 	if start.Before(d.now) && !(t.job.started && d.now.Before(t.job.due)) {
-		return start.Add(demoted)
+		return start.Add(latePenalty)
 	}
 	return start
 }
 
 // usable reports whether tasks may be started at the worker.
-func (d *Dispatcher) usable(h *holder) bool {
-	return h.stream != 0 && h.worker != nil && h.listed && h.settled && !h.leaving && !h.worker.Draining && !d.now.Before(h.restUntil) &&
-		d.now.Before(h.renewed.Add(d.Settings.GrantSpan/2)) && d.Recorder.Enrolled(h.name)
+func (d *Dispatcher) usable(a *agent) bool {
+	return a.stream != 0 && a.worker != nil && a.listed && a.settled && !a.leaving && !a.worker.Draining && !d.now.Before(a.noStartsUntil) &&
+		d.now.Before(a.renewedAt.Add(d.Settings.GrantSpan/2)) && d.Recorder.Enrolled(a.name)
 }
 
-// place starts the tasks that fit, in order.
+// place starts the tasks that fit, in the order of the ready queue.
 func (d *Dispatcher) place() {
-	if !d.gather.IsZero() || len(d.ready.list) == 0 {
+	if !d.recoveryUntil.IsZero() || len(d.ready.list) == 0 {
 		return
 	}
-	d.usables = d.usables[:0]
-	for _, h := range d.named {
-		if d.usable(h) {
-			d.usables = append(d.usables, h)
+	d.usableAgents = d.usableAgents[:0]
+	for _, a := range d.agentsByName {
+		if d.usable(a) {
+			d.usableAgents = append(d.usableAgents, a)
 		}
 	}
-	var missed missedRooms
+	var missed shortages
 	misses := 0
-	for at := 0; at < len(d.ready.list) && misses < missesMost; {
+	for at := 0; at < len(d.ready.list) && misses < maxMisses; {
 		entry := d.ready.list[at]
 		t := entry.task
 		switch {
 		case t.state != taskReady || t.job.ended || t.job.cancelled || t.job.Transient && len(t.job.waiters) == 0:
 			d.ready.removeAt(at)
-			d.waiting--
+			d.waitingTasks--
 			if t.state == taskReady && !t.job.ended && !t.job.cancelled {
 				t.state = taskBlocked // a resubmission releases it again
 			}
@@ -66,112 +66,112 @@
 			d.ready.push(d.key(t), t)
 			continue
 		}
-		var h *holder
+		var a *agent
 		if !missed.covers(t) {
-			h = d.choose(d.usables, t)
+			a = d.choose(d.usableAgents, t)
 		}
-		if h == nil {
-			missed.note(t)
+		if a == nil {
+			missed.add(t)
 			misses++
 			at++
 			continue
 		}
 		d.ready.removeAt(at)
-		d.waiting--
-		d.start(h, t)
+		d.waitingTasks--
+		d.start(a, t)
 	}
 }
 
 // choose returns the worker on which the task should end first, or nil.
-func (d *Dispatcher) choose(holders []*holder, t *task) *holder {
-	var best *holder
+func (d *Dispatcher) choose(candidates []*agent, t *task) *agent {
+	var best *agent
 	var bestScore float64
 	step := t.job.Steps[t.step]
-	for _, h := range holders {
-		if h.worker.Pool != t.job.queue.Pool || !step.Resources.Fits(h.free()) || d.now.Before(h.health.outUntil) || h.health.probing && len(h.runs) > 0 {
+	for _, a := range candidates {
+		if a.worker.Pool != t.job.queue.Pool || !step.Resources.Fits(a.free()) || d.now.Before(a.health.ejectedUntil) || a.health.probing && len(a.runs) > 0 {
 			continue
 		}
-		if step.Label != "" && !slices.Contains(h.worker.Labels, step.Label) || step.PerWorker > 0 && h.count(t.job, t.step) >= step.PerWorker {
+		if step.Label != "" && !slices.Contains(a.worker.Labels, step.Label) || step.PerWorker > 0 && a.countRuns(t.job, t.step) >= step.PerWorker {
 			continue
 		}
-		score := d.score(h, t, step)
+		score := d.score(a, t, step)
 		if best == nil || score < bestScore {
-			best, bestScore = h, score
+			best, bestScore = a, score
 		}
 	}
 	return best
 }
 
 // score is lower for better workers: the expected run time over the estimate, and how full the worker is.
-func (d *Dispatcher) score(h *holder, t *task, step specifier.Step) float64 {
-	score := h.health.pace
+func (d *Dispatcher) score(a *agent, t *task, step specifier.Step) float64 {
+	score := a.health.pace
 	if score == 0 {
 		score = 1
 	}
-	if step.DataRack != "" && !slices.Contains(h.worker.Labels, step.DataRack) {
+	if step.DataRack != "" && !slices.Contains(a.worker.Labels, step.DataRack) {
 		score *= 1.5
 	}
-	if t.avoid == h {
+	if t.avoid == a {
 		score += 100
 	}
-	if h.worker.Capacity.MilliCores > 0 {
-		score += 0.1 * float64(h.used.MilliCores) / float64(h.worker.Capacity.MilliCores)
+	if a.worker.Capacity.MilliCores > 0 {
+		score += 0.1 * float64(a.used.MilliCores) / float64(a.worker.Capacity.MilliCores)
 	}
 	return score
 }
 
-func (d *Dispatcher) start(h *holder, t *task) {
-	t.starts++
-	r := &run{key: specifier.RunKey{Task: t.name, Run: d.term*runTerm + t.starts}, holder: h, room: t.job.Steps[t.step].Resources, task: t, began: d.now}
-	order := d.command(h)
-	r.order = h.orders
-	order.Starts = append(order.Starts, specifier.RunStart{Key: r.key, Content: t.job.Content, Saved: t.saved, Resources: r.room})
-	h.add(r)
+func (d *Dispatcher) start(a *agent, t *task) {
+	t.startCount++
+	r := &run{key: specifier.RunKey{Task: t.name, Run: d.term*runTermFactor + t.startCount}, agent: a, resources: t.job.Steps[t.step].Resources, task: t, startedAt: d.now}
+	order := d.countedOrder(a)
+	r.order = a.orderCount
+	order.Starts = append(order.Starts, specifier.RunStart{Key: r.key, Content: t.job.Content, Saved: t.checkpoint, Resources: r.resources})
+	a.add(r)
 	t.state, t.run = taskPlaced, r
 	t.job.started = true
-	d.emit(LogEvent{Event: "TaskStarted", Job: t.job.ID, Task: t.name, Run: r.key.Run, Agent: h.name, Age: d.now.Sub(t.job.arrived)})
-	d.watch(r)
+	d.emit(LogEvent{Event: "TaskStarted", Job: t.job.ID, Task: t.name, Run: r.key.Run, Agent: a.name, Age: d.now.Sub(t.job.arrived)})
+	d.scheduleStuckCheck(r)
 }
 
-// stop takes a run off its worker. Its room stays in use until its end is listed.
+// stop orders the agent to stop a run. The run's resources stay in use until its end is reported.
 func (d *Dispatcher) stop(r *run) {
 	if r.stopping {
 		return
 	}
 	r.stopping = true
-	order := d.command(r.holder)
+	order := d.countedOrder(r.agent)
 	order.Stops = append(order.Stops, r.key)
-	d.emit(LogEvent{Event: "RunStopped", Task: r.key.Task, Run: r.key.Run, Agent: r.holder.name})
+	d.emit(LogEvent{Event: "RunStopped", Task: r.key.Task, Run: r.key.Run, Agent: r.agent.name})
 }
 
 const (
-	// stuckFactor times its estimate, and stuckFloor more, is when a run is taken to stand still.
+	// A run is taken for stalled after stuckFactor times its estimate plus stuckFloor.
 	stuckFactor = 12
 	stuckFloor  = 300 * time.Millisecond
 )
 
-// watch looks at a run again when it should long have ended.
-func (d *Dispatcher) watch(r *run) {
+// scheduleStuckCheck schedules a check of a run for the time when the run is taken for stalled.
+func (d *Dispatcher) scheduleStuckCheck(r *run) {
 	if r.task == nil {
 		return
 	}
 	estimate := r.task.job.Steps[r.task.step].Estimate
-	r.lookAt = d.now.Add(stuckFactor*estimate + stuckFloor)
-	d.wake(r.lookAt, timer{run: r})
+	r.checkAt = d.now.Add(stuckFactor*estimate + stuckFloor)
+	d.wake(r.checkAt, timer{run: r})
 }
 
-// expireRun stops a run that no job claims, or that stands still.
+// expireRun stops a run that no job claims, or that is stalled.
 func (d *Dispatcher) expireRun(r *run) {
-	if r.holder.runs[r.key] != r || r.stopping || d.now.Before(r.lookAt) {
+	if r.agent.runs[r.key] != r || r.stopping || d.now.Before(r.checkAt) {
 		return
 	}
 	if r.task == nil {
-		d.stop(r) // it can still be claimed until its end is listed: a second run must not start before
+		d.stop(r) // a job can still claim it until its end is reported, since a second run must not start before
 		return
 	}
-	if r.holder.health.eject(d.now) {
-		d.emit(LogEvent{Event: "WorkerOut", Agent: r.holder.name, Task: r.key.Task, Run: r.key.Run, Detail: "a run stands still", Age: d.now.Sub(r.began)})
+	if r.agent.health.eject(d.now) {
+		d.emit(LogEvent{Event: "WorkerOut", Agent: r.agent.name, Task: r.key.Task, Run: r.key.Run, Detail: "a run stands still", Age: d.now.Sub(r.startedAt)})
 	}
-	r.task.avoid = r.holder
+	r.task.avoid = r.agent
 	d.stop(r)
 }
--- a/controller/dispatcher/readyqueue.go
+++ b/controller/dispatcher/readyqueue.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// readyQueue holds the tasks that may start, in the order in which they should.
+// readyQueue holds the tasks that may start, sorted by key.
 type readyQueue struct {
 	list []readyTask
 	last uint64
@@ -26,7 +26,7 @@
 	t.queued = true
 }
 
-// removeAt takes out the task at a position.
+// removeAt removes and returns the task at a position.
 func (q *readyQueue) removeAt(at int) *task {
 	t := q.list[at].task
 	q.list = slices.Delete(q.list, at, at+1)
--- a/controller/dispatcher/rejected.go
+++ b/controller/dispatcher/rejected.go
@@ -2,5 +2,5 @@
 
 import "oleandertally/core/specifier"
 
-// Rejected is a command of this controller that the log did not take.
+// Rejected reports that the log did not accept a command of this controller.
 type Rejected struct{ Command specifier.QueueCommand }
--- a/controller/dispatcher/report.go
+++ b/controller/dispatcher/report.go
@@ -6,180 +6,181 @@
 	"oleandertally/core/specifier"
 )
 
-// reported handles a report of an agent. Ends and refusals come before the list: a run that is not in the list and has
-// no end is gone.
-func (d *Dispatcher) reported(event ReportReceived) {
+// handleReport handles a report of an agent. Ends and refusals are handled before the list of runs, because a run that is neither
+// ended nor listed is lost.
+func (d *Dispatcher) handleReport(event ReportReceived) {
 	if !d.leading || event.Report.Agent == "" {
 		return
 	}
 	report := event.Report
-	h := d.attach(event.Stream, report)
-	if h == nil {
+	a := d.attach(event.Stream, report)
+	if a == nil {
 		return
 	}
-	h.settled, h.leaving = h.settled || report.Settled && report.Listed && report.Token == d.fence(h), report.Leaving
+	a.settled, a.leaving = a.settled || report.Settled && report.Listed && report.Token == d.fence(a), report.Leaving
 	if report.Worker != nil {
-		d.see(h, report.Worker)
+		d.updateWorker(a, report.Worker)
 	}
 	if report.Renewal > 0 && d.Leading(d.now) {
-		h.renewed, h.grantUntil = d.now, d.now.Add(d.Settings.GrantSpan)
-		d.orderTo(h).Granted = report.Renewal
+		a.renewedAt, a.grantUntil = d.now, d.now.Add(d.Settings.GrantSpan)
+		d.orderTo(a).Granted = report.Renewal
 	}
-	if report.Listed || h.listed {
-		// The first list of a term comes with all ends: to note a later one would pass over those before it.
+	if report.Listed || a.listed {
+		// Before the first list of a term, a report may lack earlier ends, which acknowledging its ends would skip.
 		for _, end := range report.Ends {
-			d.end(h, end)
+			d.handleEnd(a, end)
 		}
 	}
 	for _, end := range report.Refused {
-		d.refused(h, end)
+		d.startRefused(a, end)
 	}
 	if report.Listed {
-		d.list(h, report)
+		d.reconcileRuns(a, report)
 	}
-	d.enroll(h)
-	d.acknowledge(h)
+	d.enroll(a)
+	d.acknowledge(a)
 }
 
-// enroll records that tasks may run at an agent before the first one is started there, and that none do any more once its
-// worker leaves: a new leader waits for the agents that are recorded.
-func (d *Dispatcher) enroll(h *holder) {
-	if h.enrolling || !d.Leading(d.now) {
+// enroll records an agent in the roster before the first task is started there, and removes it when its worker leaves and runs no
+// task any more. A new leader waits for the agents of the roster.
+func (d *Dispatcher) enroll(a *agent) {
+	if a.enrolling || !d.Leading(d.now) {
 		return
 	}
-	wanted := h.worker != nil && !h.worker.Draining && !h.leaving
-	switch enrolled := d.Recorder.Enrolled(h.name); {
+	wanted := a.worker != nil && !a.worker.Draining && !a.leaving
+	switch enrolled := d.Recorder.Enrolled(a.name); {
 	case wanted && !enrolled:
-		h.enrolling = true
-		d.propose(specifier.QueueCommand{Enroll: h.name})
-	case !wanted && enrolled && h.listed && h.settled && len(h.runs) == 0 && d.gather.IsZero():
-		h.enrolling = true
-		d.propose(specifier.QueueCommand{Dismiss: h.name})
+		a.enrolling = true
+		d.propose(specifier.QueueCommand{Enroll: a.name})
+	case !wanted && enrolled && a.listed && a.settled && len(a.runs) == 0 && d.recoveryUntil.IsZero():
+		a.enrolling = true
+		d.propose(specifier.QueueCommand{Dismiss: a.name})
 	}
 }
 
-// attach returns the holder of the agent that reports on a stream, or nil for a stream that another one replaced.
-func (d *Dispatcher) attach(stream Stream, report specifier.LeaseReport) *holder {
-	h := d.holders[report.Agent]
-	if h == nil {
-		h = &holder{name: report.Agent, runs: make(map[specifier.RunKey]*run)}
-		d.addHolder(h)
+// attach returns the agent that reports on a stream, or nil for a stream that a later one has replaced.
+func (d *Dispatcher) attach(stream Stream, report specifier.LeaseReport) *agent {
+	a := d.agents[report.Agent]
+	if a == nil {
+		a = &agent{name: report.Agent, runs: make(map[specifier.RunKey]*run)}
+		d.addAgent(a)
 	}
-	if h.stream == stream {
-		return h
+	if a.stream == stream {
+		return a
 	}
-	if stream < h.stream {
+	if stream < a.stream {
 		return nil
 	}
-	delete(d.streams, h.stream)
-	if h.incarnation != report.Incarnation {
-		h.settled = false
-		d.epochs[h.name]++
+	delete(d.streams, a.stream)
+	if a.incarnation != report.Incarnation {
+		a.settled = false
+		d.epochs[a.name]++
 	}
-	if h.renewed.IsZero() {
-		d.wake(d.now.Add(d.Settings.GrantSpan+d.Settings.GrantMargin), timer{holder: h})
+	if a.renewedAt.IsZero() {
+		d.wake(d.now.Add(d.Settings.GrantSpan+d.Settings.GrantMargin), timer{agent: a})
 	}
-	h.stream, h.incarnation, h.listed = stream, report.Incarnation, false
-	for _, r := range h.runs {
-		r.order = 0 // what was sent on an earlier stream has arrived or never will
+	a.stream, a.incarnation, a.listed = stream, report.Incarnation, false
+	for _, r := range a.runs {
+		r.order = 0 // an order on an earlier stream has either arrived or never will
 	}
-	d.streams[stream] = h
-	d.emit(LogEvent{Event: "AgentAttached", Agent: h.name})
-	return h
+	d.streams[stream] = a
+	d.emit(LogEvent{Event: "AgentAttached", Agent: a.name})
+	return a
 }
 
-// see notes what the worker says of itself. A new life has run nothing.
-func (d *Dispatcher) see(h *holder, worker *specifier.LeasedWorker) {
-	if h.worker == nil || h.worker.ID != worker.ID || !h.worker.Born.Equal(worker.Born) {
-		h.processed, h.noted, h.ends = 0, 0, nil
-		h.health = health{}
-		if h.worker != nil {
-			h.settled = false // until the agent has fenced off what was meant for the former life
+// updateWorker stores a worker's description of itself. A new incarnation of a worker has no ends and no health yet.
+func (d *Dispatcher) updateWorker(a *agent, worker *specifier.LeasedWorker) {
+	if a.worker == nil || a.worker.ID != worker.ID || !a.worker.Born.Equal(worker.Born) {
+		a.handledEnd, a.acknowledgedEnd, a.ends = 0, 0, nil
+		a.health = health{}
+		if a.worker != nil {
+			a.settled = false // until the agent has fenced off the orders to the former incarnation
 		}
-		d.emit(LogEvent{Event: "WorkerSeen", Agent: h.name, Detail: worker.ID})
+		d.emit(LogEvent{Event: "WorkerSeen", Agent: a.name, Detail: worker.ID})
 	}
-	if h.worker != nil && !h.worker.Draining && worker.Draining {
-		d.emit(LogEvent{Event: "WorkerDraining", Agent: h.name, Detail: worker.ID})
+	if a.worker != nil && !a.worker.Draining && worker.Draining {
+		d.emit(LogEvent{Event: "WorkerDraining", Agent: a.name, Detail: worker.ID})
 	}
-	h.worker = worker
+	a.worker = worker
 }
 
-func (d *Dispatcher) agentGone(stream Stream) {
-	h := d.streams[stream]
-	if h == nil {
+func (d *Dispatcher) agentDisconnected(stream Stream) {
+	a := d.streams[stream]
+	if a == nil {
 		return
 	}
 	delete(d.streams, stream)
-	h.stream, h.listed = 0, false
-	d.emit(LogEvent{Event: "AgentDetached", Agent: h.name, Age: d.now.Sub(h.renewed)})
+	a.stream, a.listed = 0, false
+	d.emit(LogEvent{Event: "AgentDetached", Agent: a.name, Age: d.now.Sub(a.renewedAt)})
 }
 
-// expireHolder gives up an agent whose grant has ended: nothing runs at its worker any more.
-func (d *Dispatcher) expireHolder(h *holder) {
-	if d.holders[h.name] != h {
+// expireAgent removes an agent whose grant has ended, since nothing runs at its worker any more.
+func (d *Dispatcher) expireAgent(a *agent) {
+	if d.agents[a.name] != a {
 		return
 	}
-	end := h.grantUntil.Add(d.Settings.GrantMargin)
+	end := a.grantUntil.Add(d.Settings.GrantMargin)
 	if d.now.Before(end) {
-		d.wake(end, timer{holder: h})
+		d.wake(end, timer{agent: a})
 		return
 	}
-	if d.now.Before(d.gather) {
-		d.wake(d.gather.Add(d.Settings.GrantMargin), timer{holder: h})
+	if d.now.Before(d.recoveryUntil) {
+		d.wake(d.recoveryUntil.Add(d.Settings.GrantMargin), timer{agent: a})
 		return
 	}
-	d.emit(LogEvent{Event: "AgentLost", Agent: h.name, Age: d.now.Sub(h.renewed), Count: len(h.runs)})
-	for _, r := range h.sorted() {
-		d.lose(r, specifier.EndLapsed)
+	d.emit(LogEvent{Event: "AgentLost", Agent: a.name, Age: d.now.Sub(a.renewedAt), Count: len(a.runs)})
+	for _, r := range a.sortedRuns() {
+		d.loseRun(r, specifier.EndLapsed)
 	}
-	d.removeHolder(h)
-	delete(d.streams, h.stream)
-	if d.Recorder.Enrolled(h.name) {
-		d.propose(specifier.QueueCommand{Dismiss: h.name})
+	d.removeAgent(a)
+	delete(d.streams, a.stream)
+	if d.Recorder.Enrolled(a.name) {
+		d.propose(specifier.QueueCommand{Dismiss: a.name})
 	}
 }
 
-// list compares what the agent holds with what it was told.
-func (d *Dispatcher) list(h *holder, report specifier.LeaseReport) {
-	h.listed = true
+// reconcileRuns compares the runs that an agent listed with those that it was ordered to start.
+func (d *Dispatcher) reconcileRuns(a *agent, report specifier.LeaseReport) {
+	a.listed = true
 	seen := report.Orders
-	if report.Token != d.fence(h) {
-		seen = 0 // it counts the orders of an earlier leader, or of an earlier term of this one
+	if report.Token != d.fence(a) {
+		seen = 0 // the count is of orders of an earlier leader, or of this one in an earlier term
 	}
-	held := make(map[specifier.RunKey]bool, len(report.Runs))
+	listed := make(map[specifier.RunKey]bool, len(report.Runs))
 	for _, each := range report.Runs {
-		held[each.Key] = true
-		if known := h.runs[each.Key]; known != nil {
+		listed[each.Key] = true
+		if known := a.runs[each.Key]; known != nil {
 			if known.task != nil && each.Saved != "" {
-				known.task.saved = each.Saved
+				known.task.checkpoint = each.Saved
 			}
 			continue
 		}
-		d.discover(h, each)
+		d.addListedRun(a, each)
 	}
-	for _, r := range h.sorted() {
-		if h.settled && !held[r.key] && r.order <= seen {
-			d.lose(r, specifier.EndLapsed)
+	for _, r := range a.sortedRuns() {
+		if a.settled && !listed[r.key] && r.order <= seen {
+			d.loseRun(r, specifier.EndLapsed)
 		}
 	}
 }
 
-// discover takes in a run that this leader did not start.
-func (d *Dispatcher) discover(h *holder, listed specifier.LeasedRun) {
-	r := &run{key: listed.Key, holder: h, room: listed.Resources, began: d.now}
+// addListedRun adds a run that this leader did not start. A waiting task adopts it during recovery; otherwise it is stopped or kept
+// as an orphan.
+func (d *Dispatcher) addListedRun(a *agent, listed specifier.LeasedRun) {
+	r := &run{key: listed.Key, agent: a, resources: listed.Resources, startedAt: d.now}
 	t := d.task(listed.Key.Task)
-	if r.room == (specifier.Resources{}) && t != nil {
-		r.room = t.job.Steps[t.step].Resources
+	if r.resources == (specifier.Resources{}) && t != nil {
+		r.resources = t.job.Steps[t.step].Resources
 	}
-	h.add(r)
+	a.add(r)
 	switch {
-	case t != nil && (t.state == taskReady || t.state == taskBlocked) && !d.gather.IsZero():
+	case t != nil && (t.state == taskReady || t.state == taskBlocked) && !d.recoveryUntil.IsZero():
 		d.adopt(t, r)
-	case t != nil || d.gather.IsZero():
-		// It is done, runs elsewhere or may be started elsewhere at any moment, or its job has ended.
+	case t != nil || d.recoveryUntil.IsZero():
+		// The task is done, runs elsewhere or may be started elsewhere at any moment, or its job has ended.
 		if other := d.orphans[r.key.Task]; t == nil && other == nil && d.Recorder.Job(jobOf(r.key.Task)) == nil {
 			d.orphans[r.key.Task] = r
-			d.watchOrphan(r)
+			d.scheduleOrphanCheck(r)
 			return
 		}
 		d.stop(r)
@@ -194,20 +195,20 @@
 	}
 }
 
-// watchOrphan looks again at a run that no job claims. Entries hand their jobs in again within a few milliseconds of finding a
-// leader, callers seconds later.
-func (d *Dispatcher) watchOrphan(r *run) {
+// scheduleOrphanCheck schedules the stop of a run that no job claims. Entries resubmit their jobs within a few milliseconds of finding
+// a leader, callers seconds later.
+func (d *Dispatcher) scheduleOrphanCheck(r *run) {
 	wait := d.Settings.OrphanAfter
-	if r.room == (specifier.Resources{}) {
+	if r.resources == (specifier.Resources{}) {
 		wait = d.Settings.BlockedAfter
 	}
-	r.lookAt = d.now.Add(wait)
-	d.wake(r.lookAt, timer{run: r})
+	r.checkAt = d.now.Add(wait)
+	d.wake(r.checkAt, timer{run: r})
 }
 
-// lose ends a run without an end of its own: its worker or its lease is gone, or it never started.
-func (d *Dispatcher) lose(r *run, how specifier.EndKind) {
-	r.holder.remove(r)
+// loseRun removes a run that reported no end, because its worker or its lease is lost or because it never started.
+func (d *Dispatcher) loseRun(r *run, how specifier.EndKind) {
+	r.agent.remove(r)
 	if d.orphans[r.key.Task] == r {
 		delete(d.orphans, r.key.Task)
 	}
@@ -215,17 +216,17 @@
 	if t == nil || t.run != r || t.state != taskPlaced {
 		return
 	}
-	d.emit(LogEvent{Event: "TaskLost", Job: t.job.ID, Task: t.name, Run: r.key.Run, Agent: r.holder.name, Detail: how.String(), Age: d.now.Sub(r.began)})
+	d.emit(LogEvent{Event: "TaskLost", Job: t.job.ID, Task: t.name, Run: r.key.Run, Agent: r.agent.name, Detail: how.String(), Age: d.now.Sub(r.startedAt)})
 	d.enqueue(t)
 }
 
-// acknowledge tells the agent which ends need not be listed again.
-func (d *Dispatcher) acknowledge(h *holder) {
-	if !h.settle() || h.worker == nil {
+// acknowledge orders the agent not to report the recorded ends again.
+func (d *Dispatcher) acknowledge(a *agent) {
+	if !a.advanceAcknowledged() || a.worker == nil {
 		return
 	}
-	order := d.orderTo(h)
-	order.Noted, order.NotedBorn = h.noted, h.worker.Born
+	order := d.orderTo(a)
+	order.Noted, order.NotedBorn = a.acknowledgedEnd, a.worker.Born
 }
 
 // task returns the task of that name in a job that has not ended, or nil.
@@ -241,8 +242,8 @@
 	return j.tasks[step][index]
 }
 
-// takenFor is the part of its estimate that a run took.
-func takenFor(began, now time.Time, estimate time.Duration) float64 {
+// runTimeRatio returns a run's time divided by its estimate.
+func runTimeRatio(began, now time.Time, estimate time.Duration) float64 {
 	if estimate <= 0 {
 		return 1
 	}
--- a/controller/dispatcher/run.go
+++ b/controller/dispatcher/run.go
@@ -6,14 +6,14 @@
 	"oleandertally/core/specifier"
 )
 
-// run is a run that an agent was told to start, or that it listed.
+// run is a run that this leader ordered an agent to start, or that an agent listed.
 type run struct {
-	key      specifier.RunKey
-	holder   *holder
-	room     specifier.Resources
-	task     *task  // nil while no job claims it
-	order    uint64 // that started it; 0 when the agent listed it
-	began    time.Time
-	lookAt   time.Time // when it has been unclaimed for too long, or stands still
-	stopping bool
+	key       specifier.RunKey
+	agent     *agent
+	resources specifier.Resources
+	task      *task  // nil while no job claims it
+	order     uint64 // count of the order that started it; 0 when the agent listed it or has reconnected since
+	startedAt time.Time
+	checkAt   time.Time // when it has been unclaimed for too long or is taken for stalled
+	stopping  bool
 }
--- a/controller/dispatcher/settings.go
+++ b/controller/dispatcher/settings.go
@@ -6,18 +6,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Settings are the times and bounds of a Dispatcher.
+// Settings are the times and limits of a Dispatcher.
 type Settings struct {
-	GrantSpan   time.Duration // how long a grant lasts from when the agent asked for it
-	GrantMargin time.Duration // more than clocks of agents and controllers run apart within GrantSpan
+	GrantSpan   time.Duration // duration of a grant, from the agent's request
+	GrantMargin time.Duration // exceeds the drift between the clocks of agents and controllers within GrantSpan
 	OrphanAfter time.Duration // a run that no job claims is stopped this long after it was listed
-	// BlockedAfter takes the place of OrphanAfter for a run whose room is not known: nothing is started beside it.
+	// BlockedAfter replaces OrphanAfter for a run of unknown resources, because no task is started on its worker meanwhile.
 	BlockedAfter time.Duration
-	KeepAfter    time.Duration // how long the outcome of a transient job waits for a resubmission
-	MaxWaiting   int           // tasks that wait at most before jobs are refused
+	KeepAfter    time.Duration // how long an ended or abandoned transient job is kept for a resubmission
+	MaxWaiting   int           // bound on the tasks in the ready queue; jobs beyond it are refused
 }
 
-// Defaults suit callers that resubmit after more than a second.
+// Defaults returns settings for callers that resubmit after more than a second.
 func Defaults() Settings {
 	return Settings{
 		GrantSpan:    1200 * time.Millisecond,
--- a/controller/dispatcher/submit.go
+++ b/controller/dispatcher/submit.go
@@ -6,7 +6,7 @@
 	"oleandertally/core/specifier"
 )
 
-// submit takes in a job. A resubmission of a known job joins it.
+// submit accepts or refuses a job. A resubmission of a known job waits for the same outcome.
 func (d *Dispatcher) submit(from waiter, call specifier.QueueCall, queue specifier.Queue, id string) {
 	definition := call.Job
 	definition.ID, definition.Queue = id, queue.Name
@@ -27,26 +27,26 @@
 		return
 	}
 	if reply, refused := d.refusal(definition, queue); refused {
-		d.emit(LogEvent{Event: "JobRefused", Job: id, Queue: queue.Name, Detail: reply.Detail, Count: d.waiting})
+		d.emit(LogEvent{Event: "JobRefused", Job: id, Queue: queue.Name, Detail: reply.Detail, Count: d.waitingTasks})
 		d.reply(from, reply)
 		return
 	}
 	j := newJob(definition, queue, d.now.Add(-call.Age))
 	d.jobs[id] = j
-	d.join(from, j)
-	d.emit(LogEvent{Event: "JobArrived", Job: id, Queue: queue.Name, Count: j.left, Age: j.ideal})
+	d.addWaiter(from, j)
+	d.emit(LogEvent{Event: "JobArrived", Job: id, Queue: queue.Name, Count: j.remaining, Age: j.criticalPath})
 	if !definition.Transient {
 		d.propose(specifier.QueueCommand{Accept: &definition})
 		return
 	}
-	d.wake(j.late, timer{job: j})
+	d.wake(j.expiresAt, timer{job: j})
 	d.claim(j)
-	d.release(j)
+	d.enqueueUnblocked(j)
 }
 
-func (d *Dispatcher) join(from waiter, j *job) {
+func (d *Dispatcher) addWaiter(from waiter, j *job) {
 	j.waiters = append(j.waiters, from)
-	j.forgetAt = time.Time{}
+	j.evictAt = time.Time{}
 	d.calls[from] = j
 }
 
@@ -60,20 +60,20 @@
 	case j.recorded:
 		d.reply(from, specifier.QueueReply{Result: specifier.QueueOK, State: specifier.JobQueued})
 	default:
-		d.emit(LogEvent{Event: "JobResubmitted", Job: j.ID, Queue: j.Queue, Age: d.now.Sub(j.arrived), Count: j.left})
-		d.join(from, j)
-		d.release(j)
+		d.emit(LogEvent{Event: "JobResubmitted", Job: j.ID, Queue: j.Queue, Age: d.now.Sub(j.arrived), Count: j.remaining})
+		d.addWaiter(from, j)
+		d.enqueueUnblocked(j)
 	}
 }
 
-// claim takes over what runs of a transient job, and what has ended of it, under an earlier leader.
+// claim assigns a new transient job the runs and ends of its tasks that date from an earlier leader or submission.
 func (d *Dispatcher) claim(j *job) {
-	j.all(func(t *task) {
-		if end, ok := d.finished[t.name]; ok {
-			delete(d.finished, t.name)
+	j.eachTask(func(t *task) {
+		if end, ok := d.unclaimedEnds[t.name]; ok {
+			delete(d.unclaimedEnds, t.name)
 			t.state = taskDone
-			j.open[t.step]--
-			j.left--
+			j.openTasks[t.step]--
+			j.remaining--
 			j.started = true
 			d.emit(LogEvent{Event: "TaskDone", Job: j.ID, Task: t.name, Run: end.Key.Run, Detail: "under an earlier leader"})
 			return
@@ -83,26 +83,26 @@
 			d.adopt(t, r)
 		}
 	})
-	if j.left == 0 {
+	if j.remaining == 0 {
 		d.finish(j, specifier.QueueReply{Result: specifier.QueueOK, State: specifier.JobCompleted})
 	}
 }
 
 func (d *Dispatcher) adopt(t *task, r *run) {
 	t.state, t.run, r.task = taskPlaced, r, t
-	r.holder.learnRoom(r, t.job.Steps[t.step].Resources)
+	r.agent.setResources(r, t.job.Steps[t.step].Resources)
 	t.job.started = true
-	d.emit(LogEvent{Event: "RunAdopted", Job: t.job.ID, Task: t.name, Run: r.key.Run, Agent: r.holder.name})
-	d.watch(r)
+	d.emit(LogEvent{Event: "RunAdopted", Job: t.job.ID, Task: t.name, Run: r.key.Run, Agent: r.agent.name})
+	d.scheduleStuckCheck(r)
 }
 
-// release queues every task whose step may begin.
-func (d *Dispatcher) release(j *job) {
+// enqueueUnblocked queues the blocked tasks of every step whose earlier steps are done.
+func (d *Dispatcher) enqueueUnblocked(j *job) {
 	if j.ended {
 		return
 	}
 	for step := range j.tasks {
-		if j.open[step] == 0 || !j.unblocked(step) {
+		if j.openTasks[step] == 0 || !j.unblocked(step) {
 			continue
 		}
 		for _, t := range j.tasks[step] {
@@ -113,17 +113,17 @@
 	}
 }
 
-// enqueue lets a task wait for room.
+// enqueue puts a task into the ready queue.
 func (d *Dispatcher) enqueue(t *task) {
 	t.state, t.run = taskReady, nil
 	if t.queued || t.job.ended || t.job.cancelled {
 		return
 	}
-	d.waiting++
+	d.waitingTasks++
 	d.ready.push(d.key(t), t)
 }
 
-// finish ends a job for its callers.
+// finish ends a job and answers its waiting calls.
 func (d *Dispatcher) finish(j *job, outcome specifier.QueueReply) {
 	if j.ended {
 		return
@@ -133,7 +133,7 @@
 		delete(d.calls, from)
 		d.reply(from, outcome)
 	}
-	d.emit(LogEvent{Event: "JobEnded", Job: j.ID, Queue: j.Queue, Age: d.now.Sub(j.arrived), Count: j.left, Detail: outcomeName(outcome)})
+	d.emit(LogEvent{Event: "JobEnded", Job: j.ID, Queue: j.Queue, Age: d.now.Sub(j.arrived), Count: j.remaining, Detail: outcomeName(outcome)})
 	for _, watching := range j.watchers {
 		d.reply(watching.from, outcome)
 	}
@@ -142,8 +142,8 @@
 		delete(d.jobs, j.ID)
 		return
 	}
-	j.forgetAt = d.now.Add(d.Settings.KeepAfter)
-	d.wake(j.forgetAt, timer{job: j})
+	j.evictAt = d.now.Add(d.Settings.KeepAfter)
+	d.wake(j.evictAt, timer{job: j})
 }
 
 func outcomeName(outcome specifier.QueueReply) string {
@@ -158,9 +158,9 @@
 	return "Cancelled"
 }
 
-// releaseRuns stops the runs of a job that is forgotten. A resubmission can claim them until their ends are listed.
-func (d *Dispatcher) releaseRuns(j *job) {
-	j.all(func(t *task) {
+// orphanRuns stops the runs of a job that is being deleted. A resubmission can claim them until their ends are reported.
+func (d *Dispatcher) orphanRuns(j *job) {
+	j.eachTask(func(t *task) {
 		if r := t.run; r != nil {
 			t.run, r.task = nil, nil
 			d.orphans[t.name] = r
@@ -169,30 +169,30 @@
 	})
 }
 
-// stopJob takes a job's tasks off the workers.
-func (d *Dispatcher) stopJob(j *job) {
-	j.all(func(t *task) {
+// stopRuns stops all runs of a job.
+func (d *Dispatcher) stopRuns(j *job) {
+	j.eachTask(func(t *task) {
 		if t.run != nil {
 			d.stop(t.run)
 		}
 	})
 }
 
-// expireJob handles the deadlines of a job: it is given up when its end is of no use and nothing of it has run, and
-// it is forgotten some time after its end.
+// expireJob handles the deadlines of a job. A transient job that has not started by expiresAt is refused, and a job is deleted at
+// evictAt.
 func (d *Dispatcher) expireJob(j *job) {
 	if d.jobs[j.ID] != j {
 		return
 	}
-	d.tell(j)
-	if !j.ended && !j.started && !d.now.Before(j.late) && j.Transient {
-		d.finish(j, specifier.QueueReply{Result: specifier.QueueRefused, RetryAfter: d.backlog(), Detail: "it could not start in time"})
+	d.expireWatchers(j)
+	if !j.ended && !j.started && !d.now.Before(j.expiresAt) && j.Transient {
+		d.finish(j, specifier.QueueReply{Result: specifier.QueueRefused, RetryAfter: d.backlogTime(), Detail: "it could not start in time"})
 		return
 	}
-	if !j.forgetAt.IsZero() && !d.now.Before(j.forgetAt) {
+	if !j.evictAt.IsZero() && !d.now.Before(j.evictAt) {
 		if !j.ended {
 			j.ended = true
-			d.releaseRuns(j)
+			d.orphanRuns(j)
 		}
 		delete(d.jobs, j.ID)
 	}
--- a/controller/dispatcher/task.go
+++ b/controller/dispatcher/task.go
@@ -7,18 +7,18 @@
 
 // task is one task of a job that has not ended.
 type task struct {
-	job       *job
-	step      int
-	index     int
-	name      string // ID.0.STEP.INDEX
-	state     taskState
-	run       *run // while placed or ending
-	starts    uint64
-	failures  int      // of a transient job
-	recording []uint64 // runs whose ends are being recorded
-	avoid     *holder  // where it failed last
-	saved     string   // newest checkpoint
-	queued    bool     // in the ready queue
+	job           *job
+	step          int
+	index         int
+	name          string // ID.0.STEP.INDEX
+	state         taskState
+	run           *run // while taskPlaced
+	startCount    uint64
+	failures      int      // of a transient job
+	recordingRuns []uint64 // runs whose ends are being recorded
+	avoid         *agent   // agent where it last failed, was refused or stalled
+	checkpoint    string   // newest
+	queued        bool     // in the ready queue
 }
 
 func taskName(id string, step, index int) string {
--- a/controller/dispatcher/timer.go
+++ b/controller/dispatcher/timer.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// timer wakes the dispatcher. Whoever set it checks what is due then.
+// timer is a deadline of a job, an agent or a run, which decides on expiry what is due.
 type timer struct {
-	at     time.Time
-	job    *job
-	holder *holder
-	run    *run
+	at    time.Time
+	job   *job
+	agent *agent
+	run   *run
 }
 
 func earlier(a, b timer) bool { return a.at.Before(b.at) }
--- a/controller/dispatcher/watcher.go
+++ b/controller/dispatcher/watcher.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// watcher is a question for the state of a job that is about to end.
+// watcher is a waiting query for the state of a job that may end at any moment.
 type watcher struct {
 	from  waiter
-	until time.Time // when it is answered at the latest
+	until time.Time // latest time of the reply
 }
