--- a/controller/dispatcher/dispatcher.go
+++ b/controller/dispatcher/dispatcher.go
@@ -26,19 +26,19 @@
 	recoveryUntil   time.Time         // when a new leader stops waiting for the agents' lists; zero once recovery has ended
 	clockAdvancedAt time.Time         // time up to which the replicated clock was advanced
 	jobs            map[string]*job
-	calls           map[waiter]*job
+	calls           map[waiter]*job // job that each waiting call belongs to
 	agents          map[string]*agent
 	agentsByName    []*agent // the same agents, sorted by name
 	usableAgents    []*agent // agents that may get tasks, collected by each placement
 	streams         map[Stream]*agent
-	orphans         map[string]*run // newest run of each task that no job claims, by task name
-	unclaimedEnds   map[string]specifier.RunEnd
+	orphans         map[string]*run             // newest run of each task that no job claims, by task name
+	unclaimedEnds   map[string]specifier.RunEnd // successful ends of tasks whose job is not known, by task name
 	ready           readyQueue
 	timers          container.Heap[timer]
-	manifestWaiters map[uint64][]waiter // calls that wait for a manifest, by its version
-	orders          map[*agent]*specifier.LeaseOrder
-	orderedAgents   []*agent
-	waitingTasks    int // tasks in the ready queue
+	manifestWaiters map[uint64][]waiter              // calls that wait for a manifest, by its version
+	orders          map[*agent]*specifier.LeaseOrder // being built in this step
+	orderedAgents   []*agent                         // keys of orders, in the order of their creation
+	waitingTasks    int                              // tasks in the ready queue
 
 	rejectedEnds []specifier.TaskEnd // ends of tasks that the log did not accept
 	retryEndsAt  time.Time           // when rejectedEnds are proposed again
--- a/controller/dispatcher/health.go
+++ b/controller/dispatcher/health.go
@@ -4,12 +4,12 @@
 
 // health is a worker's speed and failures, derived from the ends of its runs.
 type health struct {
-	pace         float64   // measured run time over the estimate, smoothed; 0 until measured
-	failures     int       // consecutive, of different jobs
-	lastJob      string    // job of the last failure
-	ejectedUntil time.Time // no task is started before
-	ejection     time.Duration
-	probing      bool // the worker gets one run at a time until one succeeds
+	pace         float64       // measured run time over the estimate, smoothed; 0 until measured
+	failures     int           // consecutive, of different jobs
+	lastJob      string        // job of the last failure
+	ejectedUntil time.Time     // no task is started before
+	ejection     time.Duration // duration of the last ejection; 0 after a success
+	probing      bool          // the worker gets one run at a time until one succeeds
 }
 
 const (
--- a/controller/dispatcher/report.go
+++ b/controller/dispatcher/report.go
@@ -243,9 +243,9 @@
 }
 
 // runTimeRatio returns a run's time divided by its estimate.
-func runTimeRatio(began, now time.Time, estimate time.Duration) float64 {
+func runTimeRatio(startedAt, now time.Time, estimate time.Duration) float64 {
 	if estimate <= 0 {
 		return 1
 	}
-	return float64(now.Sub(began)) / float64(estimate)
+	return float64(now.Sub(startedAt)) / float64(estimate)
 }
