--- a/controller/dispatcher/action.go
+++ b/controller/dispatcher/action.go
@@ -1,4 +1,4 @@
 package dispatcher
 
-// Action is Propose, Reply, Order or Note.
+// Action is Propose, Reply, Order or LogEvent.
 type Action any
--- a/controller/dispatcher/event.go
+++ b/controller/dispatcher/event.go
@@ -1,4 +1,4 @@
 package dispatcher
 
-// Event is Called, CallerGone, Reported, AgentGone, Led, Followed, Applied or Dropped.
+// Event is BecameLeader, BecameFollower, Applied, Rejected, CallReceived, CallerDisconnected, ReportReceived or AgentDisconnected.
 type Event any
