--- /dev/null
+++ b/controller/dispatcher/becamefollower.go
@@ -0,0 +1,4 @@
+package dispatcher
+
+// BecameFollower reports that this controller does not lead.
+type BecameFollower struct{}
--- a/controller/dispatcher/bench_test.go
+++ b/controller/dispatcher/bench_test.go
@@ -9,15 +9,15 @@
 	"oleandertally/state/jobrecorder"
 )
 
-// BenchmarkEnds measures the control goroutine's time for the end of a task and the start of the next one, at 64 and 940 workers
+// BenchmarkEnds measures the control goroutine's time for the end of a task and the start of the next one, with 64 and 940 workers
 // that are all full while jobs wait.
 func BenchmarkEnds(b *testing.B) {
 	for _, workers := range []int{64, 940} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
 			now := time.Unix(1000, 0)
-			d := &Dispatcher{Keeper: jobrecorder.New(time.Minute), Settings: Defaults(), Leading: func(time.Time) bool { return true }, Open: func() bool { return true }}
+			d := &Dispatcher{Recorder: jobrecorder.New(time.Minute), Settings: Defaults(), Leading: func(time.Time) bool { return true }, EnoughVoters: func() bool { return true }}
 			step := func(event Event) []Action { return d.Step(now, event) }
-			step(Led{Term: 1})
+			step(BecameLeader{Term: 1})
 			step(Applied{specifier.QueueCommand{Manifest: &specifier.Manifest{Version: 1, Queues: []specifier.Queue{
 				{Name: "q", Host: "h", Prefix: "/q/", Pool: "p", MaxAttempts: 2, Stretch: 1.6, Target: 60 * time.Millisecond}}}}})
 			var running []runAt
@@ -35,19 +35,19 @@
 			}
 			for agent := 1; agent <= workers; agent++ {
 				for range 2 {
-					report := specifier.LeaseReport{Agent: name(agent), Incarnation: 1, Renewal: 1, Settled: true, Listed: true,
-						Worker: &specifier.LeasedWorker{ID: name(agent), Born: time.Unix(1, 0), Pool: "p", Capacity: specifier.Resources{MilliCores: 16000, Memory: 1 << 15}}}
-					if h := d.holders[name(agent)]; h != nil {
-						report.Token = d.fence(h)
+					report := specifier.LeaseReport{Agent: agentName(agent), Incarnation: 1, Renewal: 1, Settled: true, Listed: true,
+						Worker: &specifier.LeasedWorker{ID: agentName(agent), Born: time.Unix(1, 0), Pool: "p", Capacity: specifier.Resources{MilliCores: 16000, Memory: 1 << 15}}}
+					if a := d.agents[agentName(agent)]; a != nil {
+						report.Token = d.fence(a)
 					}
-					take(step(Reported{Stream: Stream(agent), Report: report}))
+					take(step(ReportReceived{Stream: Stream(agent), Report: report}))
 				}
 			}
 			jobs, numbers := 0, make(map[Stream]uint64)
 			fill := func() {
 				for len(d.ready.list) < 200 {
 					jobs++
-					take(step(Called{Stream: caller, Sequence: uint64(jobs), Call: specifier.QueueCall{Verb: specifier.SubmitQueued, Host: "h", Path: fmt.Sprintf("/q/%d", jobs),
+					take(step(CallReceived{Stream: caller, Sequence: uint64(jobs), Call: specifier.QueueCall{Verb: specifier.SubmitQueued, Host: "h", Path: fmt.Sprintf("/q/%d", jobs),
 						Job: specifier.QueuedJob{Transient: true, Steps: []specifier.Step{{Count: 4, Resources: specifier.Resources{MilliCores: 1400 + jobs%400, Memory: 64}, Estimate: 100 * time.Millisecond}}}}}))
 				}
 			}
@@ -62,11 +62,11 @@
 				if i%4 == 0 {
 					renewal = uint64(i)
 				}
-				take(step(Reported{Stream: at.stream, Report: specifier.LeaseReport{Agent: name(int(at.stream)), Incarnation: 1, Renewal: renewal,
+				take(step(ReportReceived{Stream: at.stream, Report: specifier.LeaseReport{Agent: agentName(int(at.stream)), Incarnation: 1, Renewal: renewal,
 					Ends: []specifier.RunEnd{{Number: numbers[at.stream], Key: at.key, How: specifier.EndDone}}}}))
 				if i%workers == 0 {
 					for agent := 1; agent <= workers; agent++ {
-						d.holders[name(agent)].renewed = now
+						d.agents[agentName(agent)].renewedAt = now
 					}
 				}
 			}
@@ -74,7 +74,7 @@
 	}
 }
 
-// runAt is a run at the agent of a stream.
+// runAt is a run and the stream of its agent.
 type runAt struct {
 	stream Stream
 	key    specifier.RunKey
--- /dev/null
+++ b/controller/dispatcher/callerdisconnected.go
@@ -0,0 +1,4 @@
+package dispatcher
+
+// CallerDisconnected reports that the stream of an entry ended.
+type CallerDisconnected struct{ Stream Stream }
--- /dev/null
+++ b/controller/dispatcher/rejected.go
@@ -0,0 +1,6 @@
+package dispatcher
+
+import "oleandertally/core/specifier"
+
+// Rejected reports that the log did not accept a command of this controller.
+type Rejected struct{ Command specifier.QueueCommand }
--- a/controller/server/controller.go
+++ b/controller/server/controller.go
@@ -64,7 +64,7 @@
 	Health         *supervisor.Health // with Conditions
 	Events         *recorder.Buffer   // default one of its own
 	Log            zerolog.Logger
-	Noted          func(dispatcher.Note) // told of each decision on queues; must not block; nil for nobody
+	Noted          func(dispatcher.LogEvent) // told of each decision on queues; must not block; nil for nobody
 
 	mailbox       *looper.Mailbox[driver.Event]
 	registry      *registry
@@ -73,7 +73,7 @@
 	peers         *peers
 	joins         *calls[driver.JoinAnswered]
 	operators     *operators
-	handOvers     *calls[driver.HandedOver]
+	handOvers     *calls[driver.LeadershipTransferred]
 	measures      *calls[driver.Measured]
 	fault         chan error
 	ended         chan struct{} // closed when Run has returned
@@ -135,7 +135,7 @@
 		c.Clock = time.Now
 	}
 	c.joins = &calls[driver.JoinAnswered]{mailbox: c.mailbox}
-	c.handOvers = &calls[driver.HandedOver]{mailbox: c.mailbox}
+	c.handOvers = &calls[driver.LeadershipTransferred]{mailbox: c.mailbox}
 	c.measures = &calls[driver.Measured]{mailbox: c.mailbox}
 	c.operators = &operators{decisions: calls[specifier.Decision]{mailbox: c.mailbox}, reads: calls[driver.ReadAnswered]{mailbox: c.mailbox}}
 	c.fault, c.ended = make(chan error, 1), make(chan struct{})
@@ -224,12 +224,12 @@
 	}
 	control := sequencer.New(state)
 	control.Lease, control.MaxBatch, control.MaxSubmissions = c.MemberLease, c.MaxBatch, c.MaxSubmissions
-	machine := driver.New(node, control, &dispatcher.Dispatcher{Keeper: queues, Settings: c.Queues})
+	machine := driver.New(node, control, &dispatcher.Dispatcher{Recorder: queues, Settings: c.Queues})
 	machine.Fault, machine.Zone = c.fail, c.Zone
-	machine.MinVoters, machine.DeadAfter = c.MinVoters, c.DeadAfter
+	machine.MinVoters, machine.VoterTimeout = c.MinVoters, c.DeadAfter
 	for _, peer := range c.Peers {
 		if !c.OpenMembership {
-			machine.Names = append(machine.Names, peer.Name)
+			machine.AllowedNames = append(machine.AllowedNames, peer.Name)
 		}
 	}
 	return machine, nil
--- a/controller/server/perform.go
+++ b/controller/server/perform.go
@@ -14,8 +14,8 @@
 		c.joins.answer(uint64(action.Joined.Ticket), *action.Joined)
 	case action.Read != nil:
 		c.operators.reads.answer(action.Read.Ticket, *action.Read)
-	case action.HandedOver != nil:
-		c.handOvers.answer(action.HandedOver.Ticket, *action.HandedOver)
+	case action.LeadershipTransferred != nil:
+		c.handOvers.answer(action.LeadershipTransferred.Ticket, *action.LeadershipTransferred)
 	case action.Measured != nil:
 		c.measures.answer(action.Measured.Ticket, *action.Measured)
 	case action.Batched > 0:
@@ -30,7 +30,7 @@
 			break
 		}
 		c.registry.propose.put(control.Stream, &encoder.Verdict{Sequence: control.Sequence, Decision: encoder.EncodeDecision(control.Decision)})
-	case sequencer.Note:
+	case sequencer.RecordEvent:
 		c.Events.Add(control.Event)
 	case sequencer.Push:
 		c.registry.attend.put(control.Stream, control.Update)
--- a/controller/server/queues.go
+++ b/controller/server/queues.go
@@ -90,7 +90,7 @@
 	id := dispatcher.Stream(q.last.Add(1))
 	box := q.calls.open(id)
 	defer q.calls.close(id)
-	defer q.closed(dispatcher.CallerGone{Stream: id})
+	defer q.closed(dispatcher.CallerDisconnected{Stream: id})
 	box.Put(&encoder.QueueReplies{Welcome: q.current()})
 	group, ctx := errgroup.WithContext(stream.Context())
 	group.Go(func() error { return sendAll(ctx, box, mergeReplies, stream.Send) })
@@ -108,7 +108,7 @@
 				if err != nil {
 					return status.Error(codes.InvalidArgument, err.Error())
 				}
-				event := dispatcher.Called{Stream: id, Sequence: each.Sequence, Call: call}
+				event := dispatcher.CallReceived{Stream: id, Sequence: each.Sequence, Call: call}
 				if err := q.mailbox.Send(ctx, driver.Event{Queue: event}); err != nil {
 					return err
 				}
@@ -123,7 +123,7 @@
 	id := dispatcher.Stream(q.last.Add(1))
 	box := q.attends.open(id)
 	defer q.attends.close(id)
-	defer q.closed(dispatcher.AgentGone{Stream: id})
+	defer q.closed(dispatcher.AgentDisconnected{Stream: id})
 	box.Put(&encoder.QueueOrder{Welcome: q.current()})
 	group, ctx := errgroup.WithContext(stream.Context())
 	group.Go(func() error { return sendAll(ctx, box, nil, stream.Send) })
@@ -133,7 +133,7 @@
 			if err != nil {
 				return err
 			}
-			event := dispatcher.Reported{Stream: id, Report: encoder.DecodeLeaseReport(message)}
+			event := dispatcher.ReportReceived{Stream: id, Report: encoder.DecodeLeaseReport(message)}
 			if err := q.mailbox.Send(ctx, driver.Event{Queue: event}); err != nil {
 				return err
 			}
--- a/local/simulator/fakeleader_test.go
+++ b/local/simulator/fakeleader_test.go
@@ -29,7 +29,7 @@
 			if w.fault(refusedCommands) {
 				w.after(0, func() {
 					if w.leading == l.index && l.term == term {
-						l.step(dispatcher.Dropped(action))
+						l.step(dispatcher.Rejected(action))
 					}
 				})
 				continue
@@ -48,7 +48,7 @@
 			for _, caller := range w.jobs {
 				caller.reply(l, action)
 			}
-		case dispatcher.Note:
+		case dispatcher.LogEvent:
 			w.tell("controller %d: %s job=%s task=%s run=%d agent=%s %s", l.index, action.Event, action.Job, action.Task, action.Run, action.Agent, action.Detail)
 		}
 	}
--- a/local/simulator/world_test.go
+++ b/local/simulator/world_test.go
@@ -56,8 +56,8 @@
 		faults: true, leading: -1, running: make(map[string]*workerRun), noted: make(map[string]bool), started: make(map[string]bool)}
 	for i := range controllers {
 		l := &fakeLeader{world: w, index: i}
-		l.machine = &dispatcher.Dispatcher{Keeper: jobrecorder.New(time.Minute), Settings: dispatcher.Defaults(),
-			Leading: func(time.Time) bool { return w.leading == l.index }, Open: func() bool { return true }}
+		l.machine = &dispatcher.Dispatcher{Recorder: jobrecorder.New(time.Minute), Settings: dispatcher.Defaults(),
+			Leading: func(time.Time) bool { return w.leading == l.index }, EnoughVoters: func() bool { return true }}
 		w.leaders = append(w.leaders, l)
 	}
 	for i := range agents {
@@ -126,7 +126,7 @@
 	w.leading = index
 	w.tell("controller %d leads term %d", index, w.term)
 	w.leaders[index].term = w.term
-	w.leaders[index].step(dispatcher.Led{Term: w.term})
+	w.leaders[index].step(dispatcher.BecameLeader{Term: w.term})
 }
 
 // depose ends the leadership. The former leader learns of it later; its lease has ended.
@@ -139,7 +139,7 @@
 	w.tell("controller %d is deposed", former.index)
 	w.after(w.span(0, time.Second), func() {
 		if w.leading != former.index {
-			former.step(dispatcher.Followed{})
+			former.step(dispatcher.BecameFollower{})
 		}
 	})
 	next := (former.index + 1 + w.random.IntN(controllers-1)) % controllers
@@ -177,7 +177,7 @@
 		caller.check()
 	}
 	if at := slices.IndexFunc(w.leaders, func(l *fakeLeader) bool { return l.index == w.leading }); at >= 0 {
-		for _, id := range w.leaders[at].machine.Keeper.OpenJobs() {
+		for _, id := range w.leaders[at].machine.Recorder.OpenJobs() {
 			w.broken("job %s was kept and has not ended %v after the last fault", id, settleTime)
 		}
 	}
