--- a/dispatch/scheduler/engine.go
+++ b/dispatch/scheduler/engine.go
@@ -80,8 +80,8 @@
 	e.delayed.Less = func(a, b delayed) bool { return a.before(b) }
 }
 
-// SetLinked says whether the entry has a stream to the agent.
-func (e *Engine[P, T]) SetLinked(now time.Time, id specifier.Identity, linked bool) {
+// SetConnected says whether the entry has a stream to the agent.
+func (e *Engine[P, T]) SetConnected(now time.Time, id specifier.Identity, linked bool) {
 	if agent := e.agents[id]; agent != nil {
 		agent.linked = linked
 		e.update(now, agent)
--- a/dispatch/scheduler/engine_test.go
+++ b/dispatch/scheduler/engine_test.go
@@ -31,7 +31,7 @@
 	list := members(agents)
 	s.SetMembers(start, list)
 	for _, each := range list {
-		s.SetLinked(start, each.Identity, true)
+		s.SetConnected(start, each.Identity, true)
 	}
 	return s
 }
@@ -73,7 +73,7 @@
 		list := members(3)
 		list[1].State = specifier.Draining
 		s.SetMembers(start, list)
-		s.SetLinked(start, list[2].Identity, false)
+		s.SetConnected(start, list[2].Identity, false)
 		s.Reported(start, list[3].Identity, specifier.Load{})
 		s.Enqueue(start, items("j", 4))
 		mustDispatch(t, s, start, 0)
--- a/entry/coordinator/coordinator.go
+++ b/entry/coordinator/coordinator.go
@@ -89,7 +89,7 @@
 	case AgentUnlinked:
 		delete(c.linked, event.Agent)
 		delete(c.leaving, event.Agent)
-		c.Scheduler.SetLinked(now, event.Agent, false)
+		c.Scheduler.SetConnected(now, event.Agent, false)
 	case MembersChanged:
 		c.membersChanged(now, event)
 	case Configured:
--- a/entry/coordinator/leave.go
+++ b/entry/coordinator/leave.go
@@ -28,7 +28,7 @@
 // agentLeaving sends the agent nothing more. What was sent before is refused by the agent, or reported
 // after a new stream, before the agent is released.
 func (c *Coordinator) agentLeaving(now time.Time, agent specifier.Identity) {
-	c.Scheduler.SetLinked(now, agent, false)
+	c.Scheduler.SetConnected(now, agent, false)
 	c.leaving[agent] = true
 }
 
--- a/entry/coordinator/membership.go
+++ b/entry/coordinator/membership.go
@@ -12,7 +12,7 @@
 
 func (c *Coordinator) agentLinked(now time.Time, agent specifier.Identity) {
 	c.linked[agent] = true
-	c.Scheduler.SetLinked(now, agent, true)
+	c.Scheduler.SetConnected(now, agent, true)
 	for _, job := range c.sorted(func(j *job) bool { return j.phase == running || j.phase == collecting }) {
 		if job.asked[agent] || slices.Contains(job.holders(), agent) {
 			c.fence(job, agent)
--- a/replay/player/entry.go
+++ b/replay/player/entry.go
@@ -131,7 +131,7 @@
 		e.end(e.player.jobs[each.Item.Key.Job], Failed)
 	}
 	for _, member := range members {
-		e.scheduler.SetLinked(e.player.time.now, member.Identity, true)
+		e.scheduler.SetConnected(e.player.time.now, member.Identity, true)
 	}
 	e.dispatch()
 }
--- a/replay/player/scheduler.go
+++ b/replay/player/scheduler.go
@@ -11,7 +11,7 @@
 // Scheduler is what an entry's coordinator calls.
 type Scheduler interface {
 	SetMembers(now time.Time, members []specifier.Member) []scheduler.Assignment
-	SetLinked(now time.Time, id specifier.Identity, linked bool)
+	SetConnected(now time.Time, id specifier.Identity, linked bool)
 	Admit(now time.Time, job specifier.Job, profile specifier.Profile) *scheduler.Refusal
 	Enqueue(now time.Time, items []scheduler.Item)
 	Dispatch(now time.Time) []scheduler.Assignment
