--- a/dispatch/scheduler/engine.go
+++ b/dispatch/scheduler/engine.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// Reported notes the load that an agent reported.
-func (e *Engine[P, T]) Reported(now time.Time, id specifier.Identity, load specifier.Load) {
+// UpdateLoad notes the load that an agent reported.
+func (e *Engine[P, T]) UpdateLoad(now time.Time, id specifier.Identity, load specifier.Load) {
 	if agent := e.agents[id]; agent != nil {
 		agent.load, agent.reportedAt = load, now
 		// Tasks still on their way to the agent are counted as held but are not in the report, so that
--- a/dispatch/scheduler/engine_test.go
+++ b/dispatch/scheduler/engine_test.go
@@ -74,14 +74,14 @@
 		list[1].State = specifier.Draining
 		s.SetMembers(start, list)
 		s.SetConnected(start, list[2].Identity, false)
-		s.Reported(start, list[3].Identity, specifier.Load{})
+		s.UpdateLoad(start, list[3].Identity, specifier.Load{})
 		s.Enqueue(start, items("j", 4))
 		mustDispatch(t, s, start, 0)
 	})
 	t.Run("an agent that is never heard of gets work again", func(t *testing.T) {
 		// Guards against an entry that believes an agent full for ever.
 		s := newScheduler(1)
-		s.Reported(start, members(1)[1].Identity, specifier.Load{Slots: 8, Running: 8, Queued: 3})
+		s.UpdateLoad(start, members(1)[1].Identity, specifier.Load{Slots: 8, Running: 8, Queued: 3})
 		s.Enqueue(start, items("j", 1))
 		mustDispatch(t, s, start, 0)
 		mustDispatch(t, s, start.Add(time.Second), 1)
@@ -251,7 +251,7 @@
 	return func(dispatching *time.Duration) {
 		now = now.Add(600 * time.Millisecond / time.Duration(slots))
 		if ended, ok := held.Pop(); ok {
-			s.Reported(now, ended.Agent, specifier.Load{Slots: 8, Running: 6})
+			s.UpdateLoad(now, ended.Agent, specifier.Load{Slots: 8, Running: 6})
 			s.Done(now, ended.Agent, ended.Item.Key, true, 500*time.Millisecond)
 			again[0] = ended.Item
 			s.Enqueue(now, again)
--- a/entry/coordinator/coordinator.go
+++ b/entry/coordinator/coordinator.go
@@ -83,7 +83,7 @@
 	case Reported:
 		c.reported(now, event)
 	case Loaded:
-		c.Scheduler.Reported(now, event.Agent, event.Load)
+		c.Scheduler.UpdateLoad(now, event.Agent, event.Load)
 	case AgentLinked:
 		c.agentLinked(now, event.Agent)
 	case AgentUnlinked:
--- a/replay/player/agent.go
+++ b/replay/player/agent.go
@@ -111,7 +111,7 @@
 	load := a.queue.Load()
 	a.report.Told(a.player.time.now, to.index, load)
 	a.player.send(a.zone, to.zone, func() {
-		to.scheduler.Reported(a.player.time.now, a.member.Identity, load)
+		to.scheduler.UpdateLoad(a.player.time.now, a.member.Identity, load)
 		deliver()
 	})
 }
--- a/replay/player/scheduler.go
+++ b/replay/player/scheduler.go
@@ -17,7 +17,7 @@
 	Dispatch(now time.Time) []scheduler.Assignment
 	Done(now time.Time, id specifier.Identity, key specifier.TaskKey, ok bool, runTime time.Duration)
 	Refused(now time.Time, id specifier.Identity, key specifier.TaskKey)
-	Reported(now time.Time, id specifier.Identity, load specifier.Load)
+	UpdateLoad(now time.Time, id specifier.Identity, load specifier.Load)
 	Ejections() []specifier.Identity
 	Forget(job specifier.JobID)
 	Next() time.Time
