--- a/dispatch/scheduler/engine.go
+++ b/dispatch/scheduler/engine.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// Forget drops every task of a job: those that wait, and the count of those that agents hold.
-func (e *Engine[P, T]) Forget(id specifier.JobID) {
+// RemoveJob drops every task of a job: those that wait, and the count of those that agents hold.
+func (e *Engine[P, T]) RemoveJob(id specifier.JobID) {
 	job := e.jobs[id]
 	if job == nil {
 		return
--- a/dispatch/scheduler/engine_test.go
+++ b/dispatch/scheduler/engine_test.go
@@ -156,7 +156,7 @@
 	}
 	s.Dispatch(start)
 	for i := range 1000 {
-		s.Forget(specifier.NewJobID("t", fmt.Sprint(i)))
+		s.RemoveJob(specifier.NewJobID("t", fmt.Sprint(i)))
 	}
 	mustDispatch(t, s, start.Add(time.Second), 0)
 	pool := s.pools["s"]
--- a/entry/coordinator/run.go
+++ b/entry/coordinator/run.go
@@ -45,7 +45,7 @@
 // fail ends a job that this entry owns without its results. The outcome is recorded before it
 // is answered, so that a later repeat gets the same one.
 func (c *Coordinator) fail(now time.Time, job *job, reason specifier.Reason, detail string) {
-	c.Scheduler.Forget(job.spec.ID)
+	c.Scheduler.RemoveJob(job.spec.ID)
 	for _, agent := range job.holders() {
 		c.out = append(c.out, Withdraw{Agent: agent, Job: job.spec.ID, Epoch: job.epoch})
 	}
@@ -117,7 +117,7 @@
 
 // superseded gives up a job that another entry has taken over, and waits for its answer.
 func (c *Coordinator) superseded(now time.Time, job *job) {
-	c.Scheduler.Forget(job.spec.ID)
+	c.Scheduler.RemoveJob(job.spec.ID)
 	for i := range job.slots {
 		job.slots[i].held = specifier.Identity{}
 	}
--- a/replay/player/entry.go
+++ b/replay/player/entry.go
@@ -107,7 +107,7 @@
 	if outcome == Completed {
 		return
 	}
-	e.scheduler.Forget(j.spec.ID)
+	e.scheduler.RemoveJob(j.spec.ID)
 	for _, holder := range e.player.ordered {
 		if j.holders[holder] > 0 {
 			e.player.send(e.zone, holder.zone, func() { holder.withdraw(j.spec.ID) })
--- a/replay/player/scheduler.go
+++ b/replay/player/scheduler.go
@@ -19,7 +19,7 @@
 	Refused(now time.Time, id specifier.Identity, key specifier.TaskKey)
 	UpdateLoad(now time.Time, id specifier.Identity, load specifier.Load)
 	Ejections() []specifier.Identity
-	Forget(job specifier.JobID)
+	RemoveJob(job specifier.JobID)
 	Next() time.Time
 	Need(service string) map[string]float64
 	SetLease(now time.Time, service string, lease limiter.Lease)
