--- a/dispatch/scheduler/engine_test.go
+++ b/dispatch/scheduler/engine_test.go
@@ -110,7 +110,7 @@
 		s := newScheduler(1)
 		s.Enqueue(start, items("j", 1))
 		sent := mustDispatch(t, s, start, 1)[0]
-		s.Refused(start, sent.Agent, sent.Item.Key)
+		s.TaskRefused(start, sent.Agent, sent.Item.Key)
 		mustDispatch(t, s, start, 0)
 		must.False(t, s.Next().IsZero())
 		mustDispatch(t, s, start.Add(time.Second), 1)
@@ -194,9 +194,9 @@
 				id := out[key]
 				if rapid.Bool().Draw(t, "refused") {
 					delete(out, key)
-					s.Refused(now, id, key)
+					s.TaskRefused(now, id, key)
 				} else {
-					s.Done(now, id, key, rapid.Bool().Draw(t, "ok"), time.Second)
+					s.TaskEnded(now, id, key, rapid.Bool().Draw(t, "ok"), time.Second)
 				}
 			},
 			"wait": func(t *rapid.T) {
@@ -252,7 +252,7 @@
 		now = now.Add(600 * time.Millisecond / time.Duration(slots))
 		if ended, ok := held.Pop(); ok {
 			s.UpdateLoad(now, ended.Agent, specifier.Load{Slots: 8, Running: 6})
-			s.Done(now, ended.Agent, ended.Item.Key, true, 500*time.Millisecond)
+			s.TaskEnded(now, ended.Agent, ended.Item.Key, true, 500*time.Millisecond)
 			again[0] = ended.Item
 			s.Enqueue(now, again)
 		}
--- a/dispatch/scheduler/return.go
+++ b/dispatch/scheduler/return.go
@@ -7,8 +7,8 @@
 	"oleandertally/dispatch/retrier"
 )
 
-// Done notes that the agent ended a task, successfully or not.
-func (e *Engine[P, T]) Done(now time.Time, id specifier.Identity, key specifier.TaskKey, ok bool, runTime time.Duration) {
+// TaskEnded notes that the agent ended a task, successfully or not.
+func (e *Engine[P, T]) TaskEnded(now time.Time, id specifier.Identity, key specifier.TaskKey, ok bool, runTime time.Duration) {
 	agent := e.agents[id]
 	if agent == nil {
 		return
@@ -26,8 +26,8 @@
 	e.update(now, agent)
 }
 
-// Refused notes that the agent did not start a task; it is queued again after a delay.
-func (e *Engine[P, T]) Refused(now time.Time, id specifier.Identity, key specifier.TaskKey) {
+// TaskRefused notes that the agent did not start a task; it is queued again after a delay.
+func (e *Engine[P, T]) TaskRefused(now time.Time, id specifier.Identity, key specifier.TaskKey) {
 	agent := e.agents[id]
 	if agent == nil {
 		return
--- a/entry/coordinator/collection.go
+++ b/entry/coordinator/collection.go
@@ -71,7 +71,7 @@
 		}
 		switch report.State {
 		case specifier.TaskEnded:
-			c.Scheduler.Done(now, e.Agent, specifier.TaskKey{Job: e.Job, Task: report.Task}, true, 0)
+			c.Scheduler.TaskEnded(now, e.Agent, specifier.TaskKey{Job: e.Job, Task: report.Task}, true, 0)
 			job.finish(i, report.Body)
 		case specifier.TaskBroken:
 			job.slots[i].held = e.Agent
@@ -86,7 +86,7 @@
 		// was sent after the question may be on its way: taking it for lost would start it twice.
 		if job.slots[i].held == e.Agent && job.slots[i].mark < e.Mark && !listed[job.slots[i].result.Task] {
 			job.slots[i].held = specifier.Identity{}
-			c.Scheduler.Refused(now, e.Agent, specifier.TaskKey{Job: e.Job, Task: job.slots[i].result.Task})
+			c.Scheduler.TaskRefused(now, e.Agent, specifier.TaskKey{Job: e.Job, Task: job.slots[i].result.Task})
 		}
 	}
 	return true
--- a/entry/coordinator/run.go
+++ b/entry/coordinator/run.go
@@ -67,7 +67,7 @@
 }
 
 func (c *Coordinator) taskDone(now time.Time, e TaskDone) {
-	c.Scheduler.Done(now, e.Agent, e.Key, !e.Broken, e.RunTime)
+	c.Scheduler.TaskEnded(now, e.Agent, e.Key, !e.Broken, e.RunTime)
 	job := c.jobs[e.Key.Job]
 	if job == nil || (job.phase != running && job.phase != collecting) {
 		return
@@ -96,7 +96,7 @@
 func (c *Coordinator) taskRefused(now time.Time, e TaskRefused) {
 	job := c.jobs[e.Key.Job]
 	if job == nil || e.Epoch > job.epoch || job.phase != running {
-		c.Scheduler.Done(now, e.Agent, e.Key, true, 0)
+		c.Scheduler.TaskEnded(now, e.Agent, e.Key, true, 0)
 		return
 	}
 	i, ok := job.index[e.Key.Task]
@@ -109,7 +109,7 @@
 		c.superseded(now, job)
 		return
 	}
-	c.Scheduler.Refused(now, e.Agent, e.Key)
+	c.Scheduler.TaskRefused(now, e.Agent, e.Key)
 }
 
 // supersededCause is the cause with which an agent refuses an epoch below the one it knows.
--- a/replay/player/entry.go
+++ b/replay/player/entry.go
@@ -72,7 +72,7 @@
 
 func (e *entry) done(from *agent, key specifier.TaskKey, ok bool, run time.Duration) {
 	now := e.player.time.now
-	e.scheduler.Done(now, from.member.Identity, key, ok, run)
+	e.scheduler.TaskEnded(now, from.member.Identity, key, ok, run)
 	for _, id := range e.scheduler.Ejections() {
 		e.player.report.Ejected[id.Name]++
 	}
@@ -94,7 +94,7 @@
 
 func (e *entry) refused(from *agent, key specifier.TaskKey) {
 	e.player.jobs[key.Job].holders[from]--
-	e.scheduler.Refused(e.player.time.now, from.member.Identity, key)
+	e.scheduler.TaskRefused(e.player.time.now, from.member.Identity, key)
 	e.dispatch()
 }
 
--- a/replay/player/scheduler.go
+++ b/replay/player/scheduler.go
@@ -15,8 +15,8 @@
 	Admit(now time.Time, job specifier.Job, profile specifier.Profile) *scheduler.Refusal
 	Enqueue(now time.Time, items []scheduler.Item)
 	Dispatch(now time.Time) []scheduler.Assignment
-	Done(now time.Time, id specifier.Identity, key specifier.TaskKey, ok bool, runTime time.Duration)
-	Refused(now time.Time, id specifier.Identity, key specifier.TaskKey)
+	TaskEnded(now time.Time, id specifier.Identity, key specifier.TaskKey, ok bool, runTime time.Duration)
+	TaskRefused(now time.Time, id specifier.Identity, key specifier.TaskKey)
 	UpdateLoad(now time.Time, id specifier.Identity, load specifier.Load)
 	Ejections() []specifier.Identity
 	RemoveJob(job specifier.JobID)
