--- a/dispatch/scheduler/repeat.go
+++ b/dispatch/scheduler/retrylost.go
@@ -6,9 +6,9 @@
 	"oleandertally/dispatch/retrier"
 )
 
-// Repeat queues tasks whose worker is lost and that may run again, as far as the retry budget of their
+// RetryLost queues tasks whose worker is lost and that may run again, as far as the retry budget of their
 // profile allows. It reports false when one of them is not queued: its job can't be completed.
-func (e *Engine[P, T]) Repeat(now time.Time, items []Item) bool {
+func (e *Engine[P, T]) RetryLost(now time.Time, items []Item) bool {
 	e.init()
 	for _, item := range items {
 		attempt := retrier.Attempt{Profile: item.Profile, Repeatable: true, Cause: retrier.Lost, Count: 1, Deadline: item.Deadline}
--- a/entry/coordinator/membership.go
+++ b/entry/coordinator/membership.go
@@ -108,7 +108,7 @@
 		}
 	}
 	job.unknown = true
-	if job.phase == running && !c.Scheduler.Repeat(now, items) {
+	if job.phase == running && !c.Scheduler.RetryLost(now, items) {
 		c.fail(now, job, specifier.WorkerLost, "worker "+agent.Name+" was lost, and the retry budget of the profile is spent")
 	}
 }
