--- a/dispatch/limiter/fill_test.go
+++ b/dispatch/limiter/fill_test.go
@@ -57,13 +57,13 @@
 func TestLimiter(t *testing.T) {
 	l := &Limiter{}
 	l.SetTeams(map[string]specifier.Team{"a": {Share: 1}, "b": {Share: 3}})
-	l.Waits("a", 100, time.Minute)
+	l.AddWaiting("a", 100, time.Minute)
 	t.Run("an unused share is lent", func(t *testing.T) {
 		must.Eq(t, 40, l.Allocation(start, "a", 40))
 		must.Eq(t, 0, l.Delay(start, "a", 40))
 	})
 	t.Run("and taken back", func(t *testing.T) {
-		l.Waits("b", 100, time.Minute)
+		l.AddWaiting("b", 100, time.Minute)
 		must.Eq(t, 10, l.Allocation(start, "a", 40))
 		must.Eq(t, 6*time.Second, l.Delay(start, "a", 40))
 	})
--- a/dispatch/limiter/limiter.go
+++ b/dispatch/limiter/limiter.go
@@ -65,23 +65,23 @@
 // Limits reports whether the team is subject to a share.
 func (l *Limiter) Limits(name string) bool { return l.teams[name] != nil }
 
-// Held notes that agents hold change more tasks of a team.
-func (l *Limiter) Held(name string, change int) {
+// AddAssigned notes that agents hold change more tasks of a team.
+func (l *Limiter) AddAssigned(name string, change int) {
 	if known := l.teams[name]; known != nil {
 		known.held += change
 	}
 }
 
-// Waits notes that change more tasks of a team wait, with the given run time in all.
-func (l *Limiter) Waits(name string, change int, work time.Duration) {
+// AddWaiting notes that change more tasks of a team wait, with the given run time in all.
+func (l *Limiter) AddWaiting(name string, change int, work time.Duration) {
 	if known := l.teams[name]; known != nil {
 		known.waiting += change
 		known.work += work
 	}
 }
 
-// Waiting returns the expected run time of the team's waiting tasks.
-func (l *Limiter) Waiting(name string) time.Duration { return l.teams[name].work }
+// WaitingWork returns the expected run time of the team's waiting tasks.
+func (l *Limiter) WaitingWork(name string) time.Duration { return l.teams[name].work }
 
 // SetLease replaces what the entry may count on. Without a valid lease, the entry counts on an equal part of each
 // share.
--- a/dispatch/scheduler/admission.go
+++ b/dispatch/scheduler/admission.go
@@ -43,7 +43,7 @@
 	given := pool.limiter.Allocation(now, team, demand.Slots)
 	limited := given < demand.Slots
 	demand.Slots = given
-	demand.Waiting = min(demand.Waiting, pool.limiter.Waiting(team))
+	demand.Waiting = min(demand.Waiting, pool.limiter.WaitingWork(team))
 	return limited
 }
 
--- a/dispatch/scheduler/dispatch.go
+++ b/dispatch/scheduler/dispatch.go
@@ -56,7 +56,7 @@
 	agent.held[next.item.Key] = next
 	next.job.note(next)
 	pool.held++
-	pool.limiter.Held(next.item.Team, 1)
+	pool.limiter.AddAssigned(next.item.Team, 1)
 	pool.short.observe(now, pool.held-pool.long)
 	if next.lane == limited {
 		agent.long++
--- a/dispatch/scheduler/engine.go
+++ b/dispatch/scheduler/engine.go
@@ -118,7 +118,7 @@
 func (e *Engine[P, T]) abandon(job *job) {
 	job.forgotten = true
 	for kind := range lanes {
-		job.pool.limiter.Waits(job.team, -job.waiting[kind], -job.work[kind])
+		job.pool.limiter.AddWaiting(job.team, -job.waiting[kind], -job.work[kind])
 		job.pool.work[kind] -= job.work[kind]
 		job.work[kind] = 0
 		job.pool.queued[kind] -= job.waiting[kind]
--- a/dispatch/scheduler/pool.go
+++ b/dispatch/scheduler/pool.go
@@ -35,7 +35,7 @@
 	p.queued[task.lane] += change
 	p.work[task.lane] += time.Duration(change) * task.expected
 	task.job.waiting[task.lane] += change
-	p.limiter.Waits(task.item.Team, change, time.Duration(change)*task.expected)
+	p.limiter.AddWaiting(task.item.Team, change, time.Duration(change)*task.expected)
 	task.job.work[task.lane] += time.Duration(change) * task.expected
 }
 
--- a/dispatch/scheduler/return.go
+++ b/dispatch/scheduler/return.go
@@ -79,7 +79,7 @@
 	}
 	delete(agent.held, key)
 	agent.pool.held--
-	agent.pool.limiter.Held(task.item.Team, -1)
+	agent.pool.limiter.AddAssigned(task.item.Team, -1)
 	if task.lane == limited {
 		agent.long--
 		agent.pool.long--
