--- a/dispatch/limiter/claim.go
+++ b/dispatch/limiter/claim.go
@@ -2,22 +2,22 @@
 
 // Claim is what one team asks for and gets.
 type Claim struct {
-	Share float64 // weight
-	Need  float64 // slots that the team could use
-	Given float64 // slots, set by Fill
+	Share     float64 // weight
+	Need      float64 // slots that the team could use
+	Allocated float64 // slots, set by Fill
 }
 
-// Fill divides slots by weighted max-min fairness: each claim gets its need or its weighted part, whichever is
+// Allocate divides slots by weighted max-min fairness: each claim gets its need or its weighted part, whichever is
 // less, and what some do not need is divided among the others in the same way.
-func Fill(slots float64, claims []Claim) {
+func Allocate(slots float64, claims []Claim) {
 	for i := range claims {
-		claims[i].Given = 0
+		claims[i].Allocated = 0
 	}
 	// Each round satisfies at least one claim, or divides all that is left.
 	for range claims {
 		weight := 0.0
 		for _, each := range claims {
-			if each.Given < each.Need {
+			if each.Allocated < each.Need {
 				weight += each.Share
 			}
 		}
@@ -27,9 +27,9 @@
 		left := slots
 		for i := range claims {
 			each := &claims[i]
-			if each.Given < each.Need {
-				given := min(each.Need-each.Given, slots*each.Share/weight)
-				each.Given += given
+			if each.Allocated < each.Need {
+				given := min(each.Need-each.Allocated, slots*each.Share/weight)
+				each.Allocated += given
 				left -= given
 			}
 		}
--- a/dispatch/limiter/fill_test.go
+++ b/dispatch/limiter/fill_test.go
@@ -22,11 +22,11 @@
 			claims[i] = Claim{Share: rapid.Float64Range(0.1, 10).Draw(t, "share"), Need: rapid.Float64Range(0, 60).Draw(t, "need")}
 			need += claims[i].Need
 		}
-		Fill(slots, claims)
+		Allocate(slots, claims)
 		given := 0.0
 		for _, each := range claims {
-			must.LessEq(t, each.Need+1e-9, each.Given)
-			given += each.Given
+			must.LessEq(t, each.Need+1e-9, each.Allocated)
+			given += each.Allocated
 		}
 		must.InDelta(t, min(slots, need), given, 1e-6)
 	})
--- a/dispatch/limiter/lessor.go
+++ b/dispatch/limiter/lessor.go
@@ -70,16 +70,16 @@
 	for i, name := range names {
 		claims[i] = Claim{Share: l.teams[name], Need: l.need(name)}
 	}
-	Fill(l.Slots, claims)
+	Allocate(l.Slots, claims)
 	spare := l.Slots
 	for _, claim := range claims {
-		spare -= claim.Given
+		spare -= claim.Allocated
 	}
 	parts := make(map[string]float64, len(names))
 	for i, name := range names {
 		if claims[i].Need > 0 {
 			// What no team needs is lent in the same proportions, ready for more work.
-			parts[name] = claims[i].Given * l.held[entry].need[name] / claims[i].Need * (1 + spare/max(l.Slots-spare, 1))
+			parts[name] = claims[i].Allocated * l.held[entry].need[name] / claims[i].Need * (1 + spare/max(l.Slots-spare, 1))
 		}
 	}
 	return parts
--- a/dispatch/limiter/limiter.go
+++ b/dispatch/limiter/limiter.go
@@ -160,6 +160,6 @@
 	if at < 0 {
 		return slots
 	}
-	Fill(slots, l.claims)
-	return l.claims[at].Given
+	Allocate(slots, l.claims)
+	return l.claims[at].Allocated
 }
