--- a/controller/sequencer/quota.go
+++ b/controller/sequencer/quota.go
@@ -33,7 +33,7 @@
 // lessor returns the division of a service's slots, with the slots and the teams of now.
 func (s *Sequencer) lessor(service string) *limiter.Lessor[string] {
 	if s.lessors[service] == nil {
-		s.lessors[service] = &limiter.Lessor[string]{Term: s.Lease}
+		s.lessors[service] = &limiter.Lessor[string]{LeaseDuration: s.Lease}
 	}
 	lessor := s.lessors[service]
 	lessor.Slots = 0
--- a/dispatch/limiter/fill_test.go
+++ b/dispatch/limiter/fill_test.go
@@ -35,7 +35,7 @@
 // TestLeases guards against several entries that together count on more slots than there are.
 func TestLeases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := &Lessor[int]{Slots: 88, Term: 3 * time.Second}
+		l := &Lessor[int]{Slots: 88, LeaseDuration: 3 * time.Second}
 		l.SetTeams(map[string]specifier.Team{"a": {Share: 1}, "b": {Share: 3}})
 		valid, now := map[int]Lease{}, start
 		for range 30 {
--- a/dispatch/limiter/lessor.go
+++ b/dispatch/limiter/lessor.go
@@ -14,10 +14,10 @@
 // what an entry may count on is bounded by them, and what runs beyond it is at most what was lent and runs on until
 // its tasks end. Slots, Term and the teams are set before use. E names an entry. It is used by one goroutine.
 type Lessor[E cmp.Ordered] struct {
-	Slots float64
-	Term  time.Duration // of a lease
-	teams map[string]float64
-	held  map[E]holding
+	Slots         float64
+	LeaseDuration time.Duration // of a lease
+	teams         map[string]float64
+	held          map[E]holding
 }
 
 // holding is what one entry asked for and was granted.
@@ -41,7 +41,7 @@
 		l.held = make(map[E]holding)
 	}
 	maps.DeleteFunc(l.held, func(_ E, h holding) bool { return now.After(h.lease.Until) })
-	l.held[entry] = holding{need: need, lease: Lease{Until: now.Add(l.Term)}}
+	l.held[entry] = holding{need: need, lease: Lease{Until: now.Add(l.LeaseDuration)}}
 	parts := l.divide(entry)
 	left := l.Slots
 	for other, each := range l.held {
@@ -58,7 +58,7 @@
 			parts[team] *= max(left, 0) / total
 		}
 	}
-	lease := Lease{Until: now.Add(l.Term), Slots: parts, Contended: l.contended()}
+	lease := Lease{Until: now.Add(l.LeaseDuration), Slots: parts, Contended: l.contended()}
 	l.held[entry] = holding{need: need, lease: lease}
 	return lease
 }
--- a/replay/player/lease.go
+++ b/replay/player/lease.go
@@ -18,7 +18,7 @@
 	if len(teams) == 0 || !p.variant.Leases {
 		return
 	}
-	lessor := &limiter.Lessor[int]{Slots: workers * slots, Term: leaseTerm}
+	lessor := &limiter.Lessor[int]{Slots: workers * slots, LeaseDuration: leaseTerm}
 	lessor.SetTeams(teams)
 	for _, e := range p.entries {
 		// Entries renew at different times.
