--- a/agent/runner/meter.go
+++ b/agent/runner/meter.go
@@ -66,7 +66,7 @@
 	if !e.Broken {
 		m.classifier.Record(task.profile, ran)
 	}
-	m.metrics.Ended(classes[classifier.Of(ran)], ran, e.Broken)
+	m.metrics.Ended(classes[classifier.ClassOf(ran)], ran, e.Broken)
 }
 
 func (m *meter) actions(now time.Time, actions []executor.Action) []executor.Action {
--- a/dispatch/classifier/class.go
+++ b/dispatch/classifier/class.go
@@ -19,8 +19,8 @@
 	MediumBelow = 10 * time.Second
 )
 
-// Of returns the class of a run time.
-func Of(runTime time.Duration) Class {
+// ClassOf returns the class of a run time.
+func ClassOf(runTime time.Duration) Class {
 	switch {
 	case runTime < ShortBelow:
 		return Short
@@ -30,12 +30,12 @@
 	return Long
 }
 
-// Outrun returns the class of a task that was started as class c and has run for elapsed: never a
+// Reclassify returns the class of a task that was started as class c and has run for elapsed: never a
 // shorter one, since elapsed is only a lower bound of the run time.
-func (c Class) Outrun(elapsed time.Duration) Class { return max(c, Of(elapsed)) }
+func (c Class) Reclassify(elapsed time.Duration) Class { return max(c, ClassOf(elapsed)) }
 
-// Limit returns the run time after which a task of the class belongs to the next one, or zero for Long.
-func (c Class) Limit() time.Duration {
+// MaxRunTime returns the run time after which a task of the class belongs to the next one, or zero for Long.
+func (c Class) MaxRunTime() time.Duration {
 	switch c {
 	case Short:
 		return ShortBelow
--- a/dispatch/classifier/classifier.go
+++ b/dispatch/classifier/classifier.go
@@ -60,7 +60,7 @@
 	if c.Learned(profile) {
 		return c.profiles[profile].class
 	}
-	return Of(typical)
+	return ClassOf(typical)
 }
 
 // Mean returns the mean run time of a profile; typical is its declared run time.
@@ -91,7 +91,7 @@
 	if l.older.TotalCount() > larger.TotalCount() {
 		larger = l.older
 	}
-	l.class = Of(time.Duration(larger.ValueAtQuantile(classQuantile)) * time.Millisecond)
+	l.class = ClassOf(time.Duration(larger.ValueAtQuantile(classQuantile)) * time.Millisecond)
 	total := l.recent.Mean()*float64(l.recent.TotalCount()) + l.older.Mean()*float64(l.older.TotalCount())
 	l.mean = time.Duration(total / float64(l.count()) * float64(time.Millisecond))
 }
--- a/dispatch/classifier/classifier_test.go
+++ b/dispatch/classifier/classifier_test.go
@@ -10,7 +10,7 @@
 func mustLearn(t *testing.T, declared, runTime time.Duration, want Class) {
 	t.Helper()
 	c := &Classifier{}
-	must.Eq(t, Of(declared), c.Class("p", declared))
+	must.Eq(t, ClassOf(declared), c.Class("p", declared))
 	for range minSamples {
 		c.Record("p", runTime)
 	}
@@ -40,7 +40,7 @@
 		must.Eq(t, Long, c.Class("p", 0))
 	})
 	t.Run("a running task only gets longer", func(t *testing.T) {
-		must.Eq(t, Medium, Short.Outrun(2*time.Second))
-		must.Eq(t, Long, Long.Outrun(time.Second))
+		must.Eq(t, Medium, Short.Reclassify(2*time.Second))
+		must.Eq(t, Long, Long.Reclassify(time.Second))
 	})
 }
--- a/dispatch/orderer/queue.go
+++ b/dispatch/orderer/queue.go
@@ -149,7 +149,7 @@
 func (q *Queue) reclassify(now time.Time) {
 	for i := range q.running {
 		each := &q.running[i]
-		each.entry.Class = each.entry.Class.Outrun(now.Sub(each.started))
+		each.entry.Class = each.entry.Class.Reclassify(now.Sub(each.started))
 	}
 }
 
--- a/entry/runner/meter.go
+++ b/entry/runner/meter.go
@@ -183,7 +183,7 @@
 		return exporter.Short, 0
 	}
 	slots := max(m.slots[m.profiles[job.profile].Service], 1)
-	return classes[classifier.Of(job.longest)], max(job.longest, job.total/time.Duration(slots))
+	return classes[classifier.ClassOf(job.longest)], max(job.longest, job.total/time.Duration(slots))
 }
 
 func (m *meter) forget(id specifier.JobID) {
