--- a/dispatch/admitter/byfinish.go
+++ b/dispatch/admitter/byfinish.go
@@ -25,16 +25,16 @@
 		share = defaultShare
 	}
 	usable := time.Duration(share * float64(demand.TimeLeft))
-	finish := demand.Finish()
+	finish := demand.TimeToFinish()
 	if finish <= usable {
 		return true, 0
 	}
 	alone := demand
-	alone.Waiting = 0
+	alone.QueuedWork = 0
 	switch {
-	case alone.Finish() > demand.TimeLeft:
+	case alone.TimeToFinish() > demand.TimeLeft:
 		return false, 0 // an empty queue would not help
-	case alone.Finish() > usable && finish <= time.Duration(wideShare*float64(demand.TimeLeft)) && demand.Waiting < demand.Work:
+	case alone.TimeToFinish() > usable && finish <= time.Duration(wideShare*float64(demand.TimeLeft)) && demand.QueuedWork < demand.Work:
 		return true, 0 // no queue is short enough to use less than the share
 	}
 	return false, max(finish-usable, minRetry)
--- a/dispatch/admitter/byfinish_test.go
+++ b/dispatch/admitter/byfinish_test.go
@@ -19,7 +19,7 @@
 	t.Run("an empty queue", func(t *testing.T) { mustAdmit(t, job, true, false) })
 	t.Run("a long queue: later", func(t *testing.T) {
 		// Guards against work that is admitted and then misses its deadline.
-		job.Waiting = 10 * time.Minute
+		job.QueuedWork = 10 * time.Minute
 		mustAdmit(t, job, false, true)
 	})
 	t.Run("too long by itself: never", func(t *testing.T) {
--- a/dispatch/scheduler/admission.go
+++ b/dispatch/scheduler/admission.go
@@ -43,7 +43,7 @@
 	given := pool.limiter.Allocation(now, team, demand.Slots)
 	limited := given < demand.Slots
 	demand.Slots = given
-	demand.Waiting = min(demand.Waiting, pool.limiter.WaitingWork(team))
+	demand.QueuedWork = min(demand.QueuedWork, pool.limiter.WaitingWork(team))
 	return limited
 }
 
@@ -57,7 +57,7 @@
 	} else {
 		available = max(available-float64(pool.long), 1)
 	}
-	return admitter.Demand{Waiting: pool.work[kind], Queued: pool.queued[free] + pool.queued[limited], Tasks: len(job.Tasks),
+	return admitter.Demand{QueuedWork: pool.work[kind], Queued: pool.queued[free] + pool.queued[limited], Tasks: len(job.Tasks),
 		Slots: available, Work: time.Duration(len(job.Tasks)) * mean, Longest: mean, TimeLeft: left}
 }
 
