--- a/dispatch/admitter/byfinish_test.go
+++ b/dispatch/admitter/byfinish_test.go
@@ -35,8 +35,8 @@
 }
 
 func TestByQueue(t *testing.T) {
-	ok, _ := ByQueue{Bound: 10}.Admit(Demand{Queued: 5, Tasks: 5})
+	ok, _ := ByQueue{MaxQueued: 10}.Admit(Demand{Queued: 5, Tasks: 5})
 	must.True(t, ok)
-	ok, _ = ByQueue{Bound: 10}.Admit(Demand{Queued: 5, Tasks: 6})
+	ok, _ = ByQueue{MaxQueued: 10}.Admit(Demand{Queued: 5, Tasks: 6})
 	must.False(t, ok)
 }
--- a/dispatch/admitter/byqueue.go
+++ b/dispatch/admitter/byqueue.go
@@ -4,10 +4,10 @@
 
 // ByQueue is a baseline: it bounds the number of waiting tasks, whatever their deadlines.
 type ByQueue struct {
-	Bound int // tasks
+	MaxQueued int // tasks
 }
 
 // Admit refuses a job that would exceed the bound.
 func (b ByQueue) Admit(demand Demand) (bool, time.Duration) {
-	return demand.Queued+demand.Tasks <= b.Bound, time.Second
+	return demand.Queued+demand.Tasks <= b.MaxQueued, time.Second
 }
--- a/replay/variants.go
+++ b/replay/variants.go
@@ -20,7 +20,7 @@
 		{Name: "two choices", Order: byWidth, NewScheduler: engine[scheduler.TwoChoices]},
 		{Name: "late binding, by arrival", Order: orderer.ByArrival{}, NewScheduler: engine[scheduler.LateBinding]},
 		{Name: "late binding", Order: byWidth, NewScheduler: engine[scheduler.LateBinding]},
-		{Name: "bounded queue", Order: byWidth, NewScheduler: admitting(admitter.ByQueue{Bound: 1000})},
+		{Name: "bounded queue", Order: byWidth, NewScheduler: admitting(admitter.ByQueue{MaxQueued: 1000})},
 		{Name: "without shares", Order: byWidth, NewScheduler: withoutShares},
 		{Name: "without leases", Order: byWidth, NewScheduler: admitting(admitter.ByFinish{})},
 		{Name: "chosen", Order: byWidth, Leases: true, NewScheduler: admitting(admitter.ByFinish{})},
