--- a/dispatch/orderer/byarrival.go
+++ b/dispatch/orderer/byarrival.go
@@ -5,5 +5,5 @@
 // ByArrival is the baseline: jobs in order of arrival.
 type ByArrival struct{}
 
-// At returns arrival.
-func (ByArrival) At(arrival time.Time, tasks, priority int) time.Time { return arrival }
+// OrderTime returns arrival.
+func (ByArrival) OrderTime(arrival time.Time, tasks, priority int) time.Time { return arrival }
--- a/dispatch/orderer/bywidth.go
+++ b/dispatch/orderer/bywidth.go
@@ -9,8 +9,8 @@
 	MaxPenalty time.Duration // zero: none
 }
 
-// At returns arrival plus the penalty, less one penalty for each step of priority.
-func (w ByWidth) At(arrival time.Time, tasks, priority int) time.Time {
+// OrderTime returns arrival plus the penalty, less one penalty for each step of priority.
+func (w ByWidth) OrderTime(arrival time.Time, tasks, priority int) time.Time {
 	penalty := time.Duration(tasks) * w.Penalty
 	if w.MaxPenalty > 0 {
 		penalty = min(penalty, w.MaxPenalty)
--- a/dispatch/orderer/key_test.go
+++ b/dispatch/orderer/key_test.go
@@ -23,7 +23,7 @@
 }
 
 func TestPolicies(t *testing.T) {
-	must.Eq(t, start, ByArrival{}.At(start, 100, 0))
-	must.Eq(t, start.Add(time.Second), ByWidth{Penalty: TaskPenalty}.At(start, 12, 2))
-	must.Eq(t, start.Add(3*time.Second), ByWidth{Penalty: TaskPenalty, MaxPenalty: 3 * time.Second}.At(start, 100, 0))
+	must.Eq(t, start, ByArrival{}.OrderTime(start, 100, 0))
+	must.Eq(t, start.Add(time.Second), ByWidth{Penalty: TaskPenalty}.OrderTime(start, 12, 2))
+	must.Eq(t, start.Add(3*time.Second), ByWidth{Penalty: TaskPenalty, MaxPenalty: 3 * time.Second}.OrderTime(start, 100, 0))
 }
--- a/dispatch/orderer/policy.go
+++ b/dispatch/orderer/policy.go
@@ -4,5 +4,5 @@
 
 // Policy turns the arrival of a job into the time of its order key.
 type Policy interface {
-	At(arrival time.Time, tasks, priority int) time.Time
+	OrderTime(arrival time.Time, tasks, priority int) time.Time
 }
--- a/replay/player/job.go
+++ b/replay/player/job.go
@@ -39,7 +39,7 @@
 // items returns the tasks in the order that the variant's policy gives them.
 func (j *job) items(now time.Time, variant Variant, service string) []scheduler.Item {
 	var items []scheduler.Item
-	at := variant.Order.At(now, len(j.spec.Tasks), 0)
+	at := variant.Order.OrderTime(now, len(j.spec.Tasks), 0)
 	for _, task := range j.spec.Tasks {
 		key := specifier.TaskKey{Job: j.spec.ID, Task: task.ID}
 		item := scheduler.Item{Key: key, Service: service, Profile: j.spec.Profile, Team: j.spec.Team, Deadline: j.spec.Deadline}
