--- a/dispatch/orderer/key_test.go
+++ b/dispatch/orderer/key_test.go
@@ -10,15 +10,15 @@
 func TestGuard(t *testing.T) {
 	t.Run("a wide job is not passed over until it is too late", func(t *testing.T) {
 		key := Key{At: start.Add(27 * time.Second)}
-		must.Eq(t, start.Add(4*time.Second), key.Guard(start, start.Add(10*time.Second)).At)
+		must.Eq(t, start.Add(4*time.Second), key.LimitOvertaking(start, start.Add(10*time.Second)).At)
 	})
 	t.Run("an earlier key stays", func(t *testing.T) {
 		key := Key{At: start.Add(time.Second)}
-		must.Eq(t, key, key.Guard(start, start.Add(10*time.Second)))
+		must.Eq(t, key, key.LimitOvertaking(start, start.Add(10*time.Second)))
 	})
 	t.Run("no deadline, no guard", func(t *testing.T) {
 		key := Key{At: start.Add(27 * time.Second)}
-		must.Eq(t, key, key.Guard(start, time.Time{}))
+		must.Eq(t, key, key.LimitOvertaking(start, time.Time{}))
 	})
 }
 
--- a/dispatch/orderer/guard.go
+++ b/dispatch/orderer/limitovertaking.go
@@ -6,9 +6,9 @@
 // waiting work within as much of it, which leaves a part for the job itself.
 const passOverShare = 0.4
 
-// Guard returns the key of a task with the given deadline, moved forward so that the task is not passed over
+// LimitOvertaking returns the key of a task with the given deadline, moved forward so that the task is not passed over
 // until it is too late.
-func (k Key) Guard(now, deadline time.Time) Key {
+func (k Key) LimitOvertaking(now, deadline time.Time) Key {
 	if deadline.IsZero() {
 		return k
 	}
