--- a/agent/executor/assignment.go
+++ b/agent/executor/assignment.go
@@ -31,7 +31,7 @@
 	task := &record{task: e.Key.Task, epoch: e.Epoch, state: specifier.TaskQueued,
 		attempt: &attempt{payload: e.Payload, profile: e.Profile, deadline: e.Deadline, queued: now}}
 	job.tasks = append(job.tasks, task)
-	x.queue.Push(now, orderer.Entry{Key: orderer.Key{At: e.Order, Job: e.Key.Job, Task: e.Key.Task}, Deadline: e.Deadline,
+	x.queue.Push(now, orderer.QueuedTask{Key: orderer.Key{At: e.Order, Job: e.Key.Job, Task: e.Key.Task}, Deadline: e.Deadline,
 		Class: x.learned.Class(e.Profile, x.profiles[e.Profile].TypicalTime), Profile: e.Profile})
 	x.note(recorder.TaskQueued, e.Key.Job, task, e.Entry.Name, "")
 }
--- a/dispatch/orderer/queue.go
+++ b/dispatch/orderer/queue.go
@@ -15,14 +15,14 @@
 	Slots     int
 	LongShare float64 // share of the slots that work above the Short class may hold; default 0.5
 
-	waiting   []Entry // sorted; short, since entries send little more than the slots can run
+	waiting   []QueuedTask // sorted; short, since entries send little more than the slots can run
 	running   []running
 	lastShort time.Time // when short work last arrived
 }
 
 // running is a task in a slot.
 type running struct {
-	entry   Entry
+	entry   QueuedTask
 	started time.Time
 }
 
@@ -37,7 +37,7 @@
 func (q *Queue) SetSlots(slots int) { q.Slots = slots }
 
 // Push adds a task. It reports false for a task that already waits or runs.
-func (q *Queue) Push(now time.Time, entry Entry) bool {
+func (q *Queue) Push(now time.Time, entry QueuedTask) bool {
 	if q.holds(entry.TaskKey()) {
 		return false
 	}
@@ -50,9 +50,9 @@
 }
 
 // Start returns the tasks that start now, in order, and counts them as running.
-func (q *Queue) Start(now time.Time) []Entry {
+func (q *Queue) Start(now time.Time) []QueuedTask {
 	q.reclassify(now)
-	var started []Entry
+	var started []QueuedTask
 	for len(q.running) < q.Slots {
 		i := q.nextStart(now)
 		if i < 0 {
@@ -69,7 +69,7 @@
 // nextStart returns the index of the first waiting task that may start, or -1.
 func (q *Queue) nextStart(now time.Time) int {
 	mayLong := q.longRunning() < q.longLimit(now)
-	return slices.IndexFunc(q.waiting, func(entry Entry) bool {
+	return slices.IndexFunc(q.waiting, func(entry QueuedTask) bool {
 		return entry.Class == classifier.Short || mayLong
 	})
 }
@@ -92,28 +92,28 @@
 }
 
 // Done frees the slot of a task. It reports false when the task did not run here.
-func (q *Queue) Done(now time.Time, key specifier.TaskKey) (Entry, bool) {
+func (q *Queue) Done(now time.Time, key specifier.TaskKey) (QueuedTask, bool) {
 	for i, each := range q.running {
 		if each.entry.TaskKey() == key {
 			q.running = slices.Delete(q.running, i, i+1)
 			return each.entry, true
 		}
 	}
-	return Entry{}, false
+	return QueuedTask{}, false
 }
 
 // Remove drops the waiting tasks of a job and returns them. Running tasks keep their slots.
-func (q *Queue) Remove(job specifier.JobID) []Entry {
-	return q.drop(func(entry Entry) bool { return entry.Key.Job == job })
+func (q *Queue) Remove(job specifier.JobID) []QueuedTask {
+	return q.drop(func(entry QueuedTask) bool { return entry.Key.Job == job })
 }
 
 // Expire drops the waiting tasks whose deadline is past and returns them.
-func (q *Queue) Expire(now time.Time) []Entry {
-	return q.drop(func(entry Entry) bool { return !entry.Deadline.IsZero() && !now.Before(entry.Deadline) })
+func (q *Queue) Expire(now time.Time) []QueuedTask {
+	return q.drop(func(entry QueuedTask) bool { return !entry.Deadline.IsZero() && !now.Before(entry.Deadline) })
 }
 
 // Clear drops every waiting task and returns them.
-func (q *Queue) Clear() []Entry { return q.drop(func(Entry) bool { return true }) }
+func (q *Queue) Clear() []QueuedTask { return q.drop(func(QueuedTask) bool { return true }) }
 
 // Next returns the earliest time at which Expire or Start may have something to do though no event
 // came, or the zero time.
@@ -164,13 +164,13 @@
 }
 
 func (q *Queue) holds(key specifier.TaskKey) bool {
-	return slices.ContainsFunc(q.waiting, func(e Entry) bool { return e.TaskKey() == key }) ||
+	return slices.ContainsFunc(q.waiting, func(e QueuedTask) bool { return e.TaskKey() == key }) ||
 		slices.ContainsFunc(q.running, func(r running) bool { return r.entry.TaskKey() == key })
 }
 
-func (q *Queue) drop(late func(Entry) bool) []Entry {
-	var dropped []Entry
-	q.waiting = slices.DeleteFunc(q.waiting, func(entry Entry) bool {
+func (q *Queue) drop(late func(QueuedTask) bool) []QueuedTask {
+	var dropped []QueuedTask
+	q.waiting = slices.DeleteFunc(q.waiting, func(entry QueuedTask) bool {
 		if late(entry) {
 			dropped = append(dropped, entry)
 			return true
@@ -180,7 +180,7 @@
 	return dropped
 }
 
-func compareEntry(a, b Entry) int {
+func compareEntry(a, b QueuedTask) int {
 	switch {
 	case a.Key.Less(b.Key):
 		return -1
--- a/dispatch/orderer/queue_test.go
+++ b/dispatch/orderer/queue_test.go
@@ -14,9 +14,9 @@
 
 var start = time.Unix(0, 0)
 
-func entry(task string, class classifier.Class) Entry {
+func entry(task string, class classifier.Class) QueuedTask {
 	job := specifier.NewJobID("team", task)
-	return Entry{Key: Key{At: start, Job: job, Task: task}, Class: class, Deadline: start.Add(time.Hour)}
+	return QueuedTask{Key: Key{At: start, Job: job, Task: task}, Class: class, Deadline: start.Add(time.Hour)}
 }
 
 func push(q *Queue, now time.Time, class classifier.Class, count int, prefix string) {
--- a/dispatch/orderer/entry.go
+++ b/dispatch/orderer/queuedtask.go
@@ -7,8 +7,8 @@
 	"oleandertally/dispatch/classifier"
 )
 
-// Entry is one task in an agent's queue.
-type Entry struct {
+// QueuedTask is one task in an agent's queue.
+type QueuedTask struct {
 	Key      Key
 	Deadline time.Time // the task is dropped when it has not started by then; zero: never
 	Class    classifier.Class
@@ -17,6 +17,6 @@
 }
 
 // TaskKey returns the task that the entry stands for.
-func (e Entry) TaskKey() specifier.TaskKey {
+func (e QueuedTask) TaskKey() specifier.TaskKey {
 	return specifier.TaskKey{Job: e.Key.Job, Task: e.Key.Task}
 }
--- a/replay/player/agent.go
+++ b/replay/player/agent.go
@@ -35,7 +35,7 @@
 	if a.player.variant.FIFO {
 		order.At = epoch.Add(time.Duration(a.pushed))
 	}
-	task := orderer.Entry{Key: order, Deadline: item.Deadline, Profile: item.Profile, Team: item.Team,
+	task := orderer.QueuedTask{Key: order, Deadline: item.Deadline, Profile: item.Profile, Team: item.Team,
 		Class: a.learned.Class(item.Profile, a.player.profile(item.Profile).TypicalTime)}
 	a.owners[item.Key] = from
 	a.queue.Push(a.player.time.now, task)
@@ -83,12 +83,12 @@
 	a.tell(owner, func() { owner.refused(a, key) })
 }
 
-func (a *agent) start(task orderer.Entry) {
+func (a *agent) start(task orderer.QueuedTask) {
 	run, ok := a.player.runTime(a, task.TaskKey())
 	a.player.time.after(run, func() { a.finish(task, run, ok) })
 }
 
-func (a *agent) finish(task orderer.Entry, run time.Duration, ok bool) {
+func (a *agent) finish(task orderer.QueuedTask, run time.Duration, ok bool) {
 	if a.dead {
 		return
 	}
