--- a/agent/executor/running.go
+++ b/agent/executor/running.go
@@ -35,7 +35,7 @@
 	}
 	task.attempt = nil
 	x.note(recorder.TaskEnded, e.Key.Job, task, job.owner.Name, e.Detail)
-	x.reports.Ended()
+	x.reports.TaskEnded()
 	x.start(now) // first, so that the load in the answer counts what now runs in the free slot
 	x.tell(e.Key.Job, job, task)
 }
--- a/dispatch/orderer/reporter.go
+++ b/dispatch/orderer/reporter.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// Told notes that a message with the load was sent to an entry.
-func (r *Reporter[ID]) Told(now time.Time, id ID, load specifier.Load) {
+// ReportSent notes that a message with the load was sent to an entry.
+func (r *Reporter[ID]) ReportSent(now time.Time, id ID, load specifier.Load) {
 	for i := range r.entries {
 		if r.entries[i].id == id {
 			r.entries[i].load, r.entries[i].at = load, now
@@ -59,8 +59,8 @@
 	}
 }
 
-// Ended notes that a task ended, which pays for a part of a report.
-func (r *Reporter[ID]) Ended() { r.spent = max(r.spent-reportsPerTask, 0) }
+// TaskEnded notes that a task ended, which pays for a part of a report.
+func (r *Reporter[ID]) TaskEnded() { r.spent = max(r.spent-reportsPerTask, 0) }
 
 // Due returns the entries to tell now, the one told longest ago first, as far as the budget goes. They count
 // as told.
--- a/dispatch/orderer/reporter_test.go
+++ b/dispatch/orderer/reporter_test.go
@@ -42,7 +42,7 @@
 		mustTell(t, r, start, idle)
 		must.True(t, r.Next(idle).IsZero())
 		for range 3 {
-			r.Ended() // pays for one
+			r.TaskEnded() // pays for one
 		}
 		mustTell(t, r, start, idle, "a")
 		mustTell(t, r, start, full)
--- a/replay/player/agent.go
+++ b/replay/player/agent.go
@@ -102,14 +102,14 @@
 	delete(a.owners, key)
 	a.startWaiting()
 	a.tell(owner, func() { owner.done(a, key, ok, run) })
-	a.report.Ended()
+	a.report.TaskEnded()
 	a.step()
 }
 
 // tell sends a message with the agent's load to an entry.
 func (a *agent) tell(to *entry, deliver func()) {
 	load := a.queue.Load()
-	a.report.Told(a.player.time.now, to.index, load)
+	a.report.ReportSent(a.player.time.now, to.index, load)
 	a.player.send(a.zone, to.zone, func() {
 		to.scheduler.UpdateLoad(a.player.time.now, a.member.Identity, load)
 		deliver()
