--- a/dispatch/ejector/ejector.go
+++ b/dispatch/ejector/ejector.go
@@ -60,8 +60,8 @@
 	return true
 }
 
-// Sent notes that a worker was sent a task: after an ejection it is the probe.
-func (e *Ejector[B, T]) Sent(worker *Worker[B, T]) {
+// TaskSent notes that a worker was sent a task: after an ejection it is the probe.
+func (e *Ejector[B, T]) TaskSent(worker *Worker[B, T]) {
 	if worker.state == Ejected {
 		worker.state = Probing
 	}
--- a/dispatch/ejector/ejector_test.go
+++ b/dispatch/ejector/ejector_test.go
@@ -82,7 +82,7 @@
 	now := start.Add(firstEjection)
 	must.Eq(t, 0, w.Limit(now.Add(-1), 8, 0))
 	must.Eq(t, 1, w.Limit(now, 8, 0))
-	e.Sent(w)
+	e.TaskSent(w)
 	must.Eq(t, Probing, w.State())
 	t.Run("a failed probe ejects for longer", func(t *testing.T) {
 		e.Record(now, w, fast(100), 11)
@@ -91,7 +91,7 @@
 	})
 	t.Run("a good probe lets it return slowly", func(t *testing.T) {
 		now = now.Add(2 * firstEjection)
-		e.Sent(w)
+		e.TaskSent(w)
 		for allowed := 2; allowed <= fullAllowance; allowed++ {
 			e.Record(now, w, Outcome{OK: true, Sent: now.Add(1), RunTime: time.Second, Expected: time.Second}, 11)
 			must.Eq(t, allowed, w.Limit(now, 11, 0))
--- a/dispatch/ejector/worker.go
+++ b/dispatch/ejector/worker.go
@@ -68,8 +68,8 @@
 	smoothing = 0.15
 )
 
-// Slow notes that a task has run for SlowRatio of its expected time and has not ended.
-func (w *Worker[B, T]) Slow() { w.ran(SlowRatio + 1) }
+// RecordSlow notes that a task has run for SlowRatio of its expected time and has not ended.
+func (w *Worker[B, T]) RecordSlow() { w.ran(SlowRatio + 1) }
 
 // ran notes how a run time compares with what its profile leads to expect.
 func (w *Worker[B, T]) ran(ratio float64) {
--- a/dispatch/scheduler/dispatch.go
+++ b/dispatch/scheduler/dispatch.go
@@ -66,7 +66,7 @@
 	if agent.pace(now); agent.paced == paceTasks {
 		e.paced = append(e.paced, agent)
 	}
-	e.ejector.Sent(&agent.health)
+	e.ejector.TaskSent(&agent.health)
 	e.update(now, agent)
 	e.sending = append(e.sending, Assignment{Agent: agent.member.Identity, Item: next.item})
 	return true
--- a/dispatch/scheduler/health.go
+++ b/dispatch/scheduler/health.go
@@ -55,7 +55,7 @@
 	for _, task := range agent.held {
 		if !task.slow && now.Sub(task.sent) > queueTime+ejector.SlowRatio*task.expected && task.expected > 0 {
 			task.slow = true
-			agent.health.Slow()
+			agent.health.RecordSlow()
 		}
 	}
 }
