--- a/dispatch/retrier/budget.go
+++ b/dispatch/retrier/budget.go
@@ -14,8 +14,8 @@
 	burst = 11
 )
 
-// First notes a first attempt, which pays for ratio retries; 0: the default.
-func (b *Budget) First(ratio float64) {
+// RecordFirstAttempt notes a first attempt, which pays for ratio retries; 0: the default.
+func (b *Budget) RecordFirstAttempt(ratio float64) {
 	if ratio <= 0 {
 		ratio = defaultRatio
 	}
--- a/dispatch/retrier/retrier.go
+++ b/dispatch/retrier/retrier.go
@@ -17,8 +17,10 @@
 	maxDelay   = time.Second
 )
 
-// First notes a first attempt of a profile with a retry ratio.
-func (r *Retrier) First(profile string, ratio float64) { r.budget(profile).First(ratio) }
+// RecordFirstAttempt notes a first attempt of a profile with a retry ratio.
+func (r *Retrier) RecordFirstAttempt(profile string, ratio float64) {
+	r.budget(profile).RecordFirstAttempt(ratio)
+}
 
 // Plan returns when the task may be sent again, or false when it may not: it may have run and is not repeatable, its
 // deadline would be past, or it is lost and the budget is spent. A task that is proved not started waits the longest
--- a/dispatch/retrier/retrier_test.go
+++ b/dispatch/retrier/retrier_test.go
@@ -25,7 +25,7 @@
 		// Guards against a fault that multiplies the load.
 		r, retries := newRetrier(), 0
 		for range 1000 {
-			r.First("p", 0.1)
+			r.RecordFirstAttempt("p", 0.1)
 			if _, ok := r.Plan(start, Attempt{Profile: "p", Cause: Lost, Repeatable: true}); ok {
 				retries++
 			}
--- a/dispatch/scheduler/enqueue.go
+++ b/dispatch/scheduler/enqueue.go
@@ -17,7 +17,7 @@
 		job.team = item.Team
 		item.Order.At = item.Order.At.Add(delay)
 		item.Order = item.Order.LimitOvertaking(now, item.Deadline)
-		e.retrier.First(item.Profile, e.profiles[item.Profile].RetryBudget)
+		e.retrier.RecordFirstAttempt(item.Profile, e.profiles[item.Profile].RetryBudget)
 		if e.push(now, job, item, 0) == free {
 			e.lastShort = now
 		}
