--- a/dispatch/ejector/breaker.go
+++ b/dispatch/ejector/breaker.go
@@ -6,8 +6,8 @@
 	// Record notes an outcome: weight is 0 for a success, more for a failure that says more. It reports
 	// whether the worker should be ejected, given the weight at which it is.
 	Record(weight, threshold int) bool
-	// Suspect reports whether the last outcome was a failure.
-	Suspect() bool
+	// LastFailed reports whether the last outcome was a failure.
+	LastFailed() bool
 	// Reset forgets all outcomes.
 	Reset()
 }
--- a/dispatch/ejector/consecutive.go
+++ b/dispatch/ejector/consecutive.go
@@ -15,8 +15,8 @@
 	return c.weight >= threshold
 }
 
-// Suspect implements Breaker.
-func (c *Consecutive) Suspect() bool { return c.weight > 0 }
+// LastFailed implements Breaker.
+func (c *Consecutive) LastFailed() bool { return c.weight > 0 }
 
 // Reset implements Breaker.
 func (c *Consecutive) Reset() { c.weight = 0 }
--- a/dispatch/ejector/ejector.go
+++ b/dispatch/ejector/ejector.go
@@ -42,10 +42,10 @@
 		return true
 	}
 	// Tasks of one job that fail on one worker count once: the job may be the cause.
-	if T(&worker.breaker).Suspect() && worker.lastJob == outcome.Job {
+	if T(&worker.breaker).LastFailed() && worker.lastJob == outcome.Job {
 		return false
 	}
-	if !T(&worker.breaker).Suspect() {
+	if !T(&worker.breaker).LastFailed() {
 		worker.jobs = 0
 	}
 	worker.failedAt, worker.lastJob = now, outcome.Job
@@ -81,7 +81,7 @@
 	switch worker.state {
 	case Healthy:
 		// A task that was sent before the last failure says nothing about the worker since.
-		if !T(&worker.breaker).Suspect() || outcome.Sent.After(worker.failedAt) {
+		if !T(&worker.breaker).LastFailed() || outcome.Sent.After(worker.failedAt) {
 			T(&worker.breaker).Record(0, outcome.threshold())
 		}
 	case Probing:
@@ -117,7 +117,7 @@
 	if other == worker || other.state != Healthy {
 		return false
 	}
-	if !T(&other.breaker).Suspect() {
+	if !T(&other.breaker).LastFailed() {
 		return true
 	}
 	if other.lastJob != outcome.Job || other.jobs > 1 {
--- a/dispatch/ejector/slidingwindow.go
+++ b/dispatch/ejector/slidingwindow.go
@@ -28,8 +28,8 @@
 	return weight > 0 && total >= threshold && 2*failures >= s.count
 }
 
-// Suspect implements Breaker.
-func (s *SlidingWindow) Suspect() bool { return s.last > 0 }
+// LastFailed implements Breaker.
+func (s *SlidingWindow) LastFailed() bool { return s.last > 0 }
 
 // Reset implements Breaker.
 func (s *SlidingWindow) Reset() { *s = SlidingWindow{} }
--- a/dispatch/ejector/worker.go
+++ b/dispatch/ejector/worker.go
@@ -36,7 +36,7 @@
 	case Returning:
 		return w.allowed
 	}
-	if T(&w.breaker).Suspect() && sentSinceFailure > 0 {
+	if T(&w.breaker).LastFailed() && sentSinceFailure > 0 {
 		return 0
 	}
 	return slots
@@ -50,7 +50,7 @@
 
 // FailedAt returns when the last failure came that makes the worker suspect, or the zero time.
 func (w *Worker[B, T]) FailedAt() time.Time {
-	if w.state == Healthy && T(&w.breaker).Suspect() {
+	if w.state == Healthy && T(&w.breaker).LastFailed() {
 		return w.failedAt
 	}
 	return time.Time{}
