--- a/dispatch/admitter/always.go
+++ b/dispatch/admitter/always.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Always is the baseline: it admits everything, and late work is dropped at its deadline.
+// Always is the baseline policy: every job is admitted, and tasks that are late are dropped at their deadline.
 type Always struct{}
 
 // Admit returns true.
--- a/dispatch/admitter/byfinish.go
+++ b/dispatch/admitter/byfinish.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// ByFinish admits a job when its predicted finish leaves a part of the time to its deadline unused, for
-// the error of the prediction and for jobs that overtake it.
+// ByFinish admits a job when its predicted time to finish is at most a share of the time to its deadline. The rest is
+// a reserve for prediction errors and for jobs that overtake this one.
 type ByFinish struct {
-	Share float64 // of the time left that the prediction may use; default 0.35
+	Share float64 // of the time to the deadline that the predicted time to finish may use; default 0.35
 }
 
 const (
-	// defaultShare keeps queues short enough that wide jobs, which narrow ones overtake, still finish.
+	// defaultShare keeps queues short enough that wide jobs still finish although narrow jobs overtake them.
 	defaultShare = 0.35
-	// wideShare is what a job may use that needs more than the share on an empty queue. At 4 times the demand, jobs
-	// of over 200 tasks that were admitted up to the whole time left just missed their deadlines and wasted 2%.
+	// wideShare applies to a job that would exceed the normal share even with an empty queue. At 4 times the normal
+	// demand, jobs of over 200 tasks that may use all of the time left narrowly miss their deadlines, which
+	// wastes 2% of the work.
 	wideShare = 0.6
-	// minRetry keeps refused callers from coming back faster than the queue can change.
-	minRetry = 200 * time.Millisecond
+	// minRetry prevents refused callers from retrying faster than the queue can change.
+	minRetryDelay = 200 * time.Millisecond
 )
 
-// Admit compares the predicted finish with the time left.
+// Admit compares the predicted time to finish with the time to the deadline.
 func (b ByFinish) Admit(demand Demand) (bool, time.Duration) {
 	share := b.Share
 	if share <= 0 {
@@ -29,13 +30,13 @@
 	if finish <= usable {
 		return true, 0
 	}
-	alone := demand
-	alone.QueuedWork = 0
+	unqueued := demand
+	unqueued.QueuedWork = 0
 	switch {
-	case alone.TimeToFinish() > demand.TimeLeft:
-		return false, 0 // an empty queue would not help
-	case alone.TimeToFinish() > usable && finish <= time.Duration(wideShare*float64(demand.TimeLeft)) && demand.QueuedWork < demand.Work:
-		return true, 0 // no queue is short enough to use less than the share
+	case unqueued.TimeToFinish() > demand.TimeLeft:
+		return false, 0 // the deadline is too early even for an empty queue
+	case unqueued.TimeToFinish() > usable && finish <= time.Duration(wideShare*float64(demand.TimeLeft)) && demand.QueuedWork < demand.Work:
+		return true, 0 // waiting does not help: the job exceeds the share even with an empty queue
 	}
-	return false, max(finish-usable, minRetry)
+	return false, max(finish-usable, minRetryDelay)
 }
--- a/dispatch/admitter/byfinish_test.go
+++ b/dispatch/admitter/byfinish_test.go
@@ -16,20 +16,20 @@
 
 func TestByFinish(t *testing.T) {
 	job := Demand{Slots: 30, Tasks: 8, Work: 4 * time.Second, Longest: time.Second, TimeLeft: 10 * time.Second}
-	t.Run("an empty queue", func(t *testing.T) { mustAdmit(t, job, true, false) })
-	t.Run("a long queue: later", func(t *testing.T) {
-		// Guards against work that is admitted and then misses its deadline.
+	t.Run("a job that finds an empty queue is admitted", func(t *testing.T) { mustAdmit(t, job, true, false) })
+	t.Run("a job behind a long queue is refused with a retry delay", func(t *testing.T) {
+		// Guards against admitting a job that then waits past its deadline.
 		job.QueuedWork = 10 * time.Minute
 		mustAdmit(t, job, false, true)
 	})
-	t.Run("too long by itself: never", func(t *testing.T) {
+	t.Run("a job that exceeds its deadline by itself is refused without a retry delay", func(t *testing.T) {
 		mustAdmit(t, Demand{Slots: 30, Longest: time.Minute, TimeLeft: 10 * time.Second}, false, false)
 	})
 	t.Run("a wide job that needs half of its time is admitted to an empty queue", func(t *testing.T) {
 		mustAdmit(t, Demand{Slots: 30, Work: 120 * time.Second, Longest: time.Second, TimeLeft: 10 * time.Second}, true, false)
 	})
 	t.Run("a wide job that needs most of its time is refused", func(t *testing.T) {
-		// Guards against wide jobs that just miss their deadlines and waste what ran.
+		// Guards against wide jobs that narrowly miss their deadlines, so that the work of their tasks is wasted.
 		mustAdmit(t, Demand{Slots: 30, Work: 160 * time.Second, Longest: time.Second, TimeLeft: 10 * time.Second}, false, true)
 	})
 }
--- a/dispatch/admitter/demand.go
+++ b/dispatch/admitter/demand.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Demand is what a decision on one job depends on.
+// Demand describes one job and the load of the entry that decides whether to admit the job.
 type Demand struct {
-	QueuedWork time.Duration // run time of the work that waits at this entry
-	Queued     int           // tasks that wait at this entry
-	Slots      float64       // slots that this entry can count on
-	Tasks      int           // of the job
+	QueuedWork time.Duration // expected run time of all tasks that wait at this entry
+	Queued     int           // number of tasks that wait at this entry
+	Slots      float64       // slots available to this entry
+	Tasks      int           // number of tasks of the job
 	Work       time.Duration // expected run time of all tasks of the job
-	Longest    time.Duration // expected run time of its longest task
-	TimeLeft   time.Duration // until its deadline
+	Longest    time.Duration // expected run time of the longest task of the job
+	TimeLeft   time.Duration // until the deadline of the job
 }
 
-// TimeToFinish returns how long the job is expected to take. All work that waits counts as ahead of it: narrow
-// jobs overtake a wide one, and a job that overtakes others makes those late that were admitted before.
+// TimeToFinish returns the expected time until the job is complete. All waiting work counts as ahead of the job: narrow jobs
+// overtake a wide job, and a narrow job that overtakes others delays jobs that were admitted before it.
 func (d Demand) TimeToFinish() time.Duration {
 	return time.Duration(float64(d.QueuedWork+d.Work)/max(d.Slots, 1)) + d.Longest
 }
--- a/dispatch/admitter/doc.go
+++ b/dispatch/admitter/doc.go
@@ -1,2 +1,2 @@
-// Package admitter decides early whether a job can finish by its deadline.
+// Package admitter decides, before a job is queued, whether the job can finish by its deadline.
 package admitter
