--- a/dispatch/classifier/class.go
+++ b/dispatch/classifier/class.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Class is a band of run times. The zero value is Short: unknown work is not held back.
+// Class is a range of run times. The zero value is Short, so that work of unknown run time is not restricted.
 type Class uint8
 
 // The classes, in order of run time.
@@ -13,9 +13,9 @@
 )
 
 const (
-	// ShortBelow is above the 1 s that most tasks stay under, so that ordinary work is never held back.
+	// ShortBelow is above 1 s, the run time that most tasks do not reach, so that ordinary work is never restricted.
 	ShortBelow = 1500 * time.Millisecond
-	// MediumBelow separates the few tasks of several seconds from those many times longer.
+	// MediumBelow separates tasks of several seconds, which are few, from tasks that run many times longer.
 	MediumBelow = 10 * time.Second
 )
 
@@ -30,11 +30,11 @@
 	return Long
 }
 
-// Reclassify returns the class of a task that was started as class c and has run for elapsed: never a
-// shorter one, since elapsed is only a lower bound of the run time.
+// Reclassify returns the class of a task of class c that has run for elapsed so far. The result is never a shorter class,
+// since elapsed is only a lower bound of the run time.
 func (c Class) Reclassify(elapsed time.Duration) Class { return max(c, ClassOf(elapsed)) }
 
-// MaxRunTime returns the run time after which a task of the class belongs to the next one, or zero for Long.
+// MaxRunTime returns the run time from which a task belongs to the next class, or zero for Long.
 func (c Class) MaxRunTime() time.Duration {
 	switch c {
 	case Short:
--- a/dispatch/classifier/classifier.go
+++ b/dispatch/classifier/classifier.go
@@ -6,53 +6,54 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Classifier learns the run times of profiles. Until a profile has run often enough, what its operators
-// declared stands in. The zero value is ready; it is used by one goroutine.
+// Classifier estimates the run times of profiles from completed tasks. Until a profile has enough samples, its
+// declared run time is used. The zero value is ready to use. A Classifier is not safe for concurrent use.
 type Classifier struct {
-	profiles map[string]*learned
+	profiles map[string]*runTimes
 }
 
-// learned is what is known of one profile. The figures are cached, because a quantile walks the histogram.
-type learned struct {
-	recent *hdrhistogram.Histogram // ms
-	older  *hdrhistogram.Histogram // the period before, so that a profile that changes is learned again
-	class  Class
-	mean   time.Duration
-	stale  int // samples since the figures were computed
+// runTimes holds the samples of one profile. Class and mean are cached, because a quantile scans the histogram.
+type runTimes struct {
+	recent       *hdrhistogram.Histogram // ms
+	older        *hdrhistogram.Histogram // the previous samples; replaced, so that estimates follow a profile that changes
+	class        Class
+	mean         time.Duration
+	sinceRefresh int // samples since class and mean were computed
 }
 
 const (
-	// minSamples is where ten samples of a wide distribution place its upper quartile well enough.
+	// minSamples is enough to estimate the upper quartile of a wide distribution.
 	minSamples = 10
-	// period is how many samples a histogram takes before the next one replaces the older one.
-	period = 2000
-	// refreshEvery bounds the cost of walking the histograms to a small part of a record.
-	refreshEvery = 16
-	// classQuantile ignores outliers: a quarter of the tasks of a profile must be long before it is held back.
+	// histogramSamples is the number of samples after which the recent histogram replaces the older one.
+	histogramSamples = 2000
+	// refreshSamples is the number of samples between two scans of the histograms, so that the scans are a small part
+	// of the cost of Record.
+	refreshSamples = 16
+	// classQuantile ignores outliers: a profile is restricted only when a quarter of its tasks are long.
 	classQuantile = 75
-	// maxRun is the longest run time that is told apart.
-	maxRun = time.Hour
-	// figures of 1 give a precision of 10% at 3 kB for each histogram.
-	figures = 1
+	// maxRunTime is the upper bound of the histograms; longer run times count as this one.
+	maxRunTime = time.Hour
+	// significantFigures of 1 gives a precision of 10% at 3 kB for each histogram.
+	significantFigures = 1
 )
 
-// Record notes that a task of a profile ran for runTime, or has run that long and still runs.
+// Record adds a sample: a task of the profile ran for runTime, or has run for that long and is still running.
 func (c *Classifier) Record(profile string, runTime time.Duration) {
 	if c.profiles == nil {
-		c.profiles = make(map[string]*learned)
+		c.profiles = make(map[string]*runTimes)
 	}
-	known := c.profiles[profile]
-	if known == nil {
-		known = &learned{recent: newHistogram(), older: newHistogram()}
-		c.profiles[profile] = known
+	samples := c.profiles[profile]
+	if samples == nil {
+		samples = &runTimes{recent: newHistogram(), older: newHistogram()}
+		c.profiles[profile] = samples
 	}
-	known.record(runTime)
+	samples.record(runTime)
 }
 
-// Learned reports whether the profile has run often enough for Class and Mean not to use the declared run time.
+// Learned reports whether the profile has enough samples for Class and Mean to use them instead of the declared run time.
 func (c *Classifier) Learned(profile string) bool {
-	known := c.profiles[profile]
-	return known != nil && known.count() >= minSamples
+	samples := c.profiles[profile]
+	return samples != nil && samples.count() >= minSamples
 }
 
 // Class returns the class of a profile; typical is its declared run time.
@@ -71,31 +72,31 @@
 	return typical
 }
 
-func (l *learned) count() int64 { return l.recent.TotalCount() + l.older.TotalCount() }
+func (r *runTimes) count() int64 { return r.recent.TotalCount() + r.older.TotalCount() }
 
-func (l *learned) record(runTime time.Duration) {
-	// A value within the bounds of the histogram is always accepted.
-	_ = l.recent.RecordValue(max(min(runTime, maxRun).Milliseconds(), 1))
-	if l.recent.TotalCount() >= period {
-		l.older, l.recent = l.recent, l.older
-		l.recent.Reset()
+func (r *runTimes) record(runTime time.Duration) {
+	// The error is always nil: the value is within the bounds of the histogram.
+	_ = r.recent.RecordValue(max(min(runTime, maxRunTime).Milliseconds(), 1))
+	if r.recent.TotalCount() >= histogramSamples {
+		r.older, r.recent = r.recent, r.older
+		r.recent.Reset()
 	}
-	if l.stale++; l.stale >= refreshEvery || l.count() <= minSamples {
-		l.refresh()
+	if r.sinceRefresh++; r.sinceRefresh >= refreshSamples || r.count() <= minSamples {
+		r.refresh()
 	}
 }
 
-func (l *learned) refresh() {
-	l.stale = 0
-	larger := l.recent
-	if l.older.TotalCount() > larger.TotalCount() {
-		larger = l.older
+func (r *runTimes) refresh() {
+	r.sinceRefresh = 0
+	larger := r.recent
+	if r.older.TotalCount() > larger.TotalCount() {
+		larger = r.older
 	}
-	l.class = ClassOf(time.Duration(larger.ValueAtQuantile(classQuantile)) * time.Millisecond)
-	total := l.recent.Mean()*float64(l.recent.TotalCount()) + l.older.Mean()*float64(l.older.TotalCount())
-	l.mean = time.Duration(total / float64(l.count()) * float64(time.Millisecond))
+	r.class = ClassOf(time.Duration(larger.ValueAtQuantile(classQuantile)) * time.Millisecond)
+	total := r.recent.Mean()*float64(r.recent.TotalCount()) + r.older.Mean()*float64(r.older.TotalCount())
+	r.mean = time.Duration(total / float64(r.count()) * float64(time.Millisecond))
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, maxRun.Milliseconds(), figures)
+	return hdrhistogram.New(1, maxRunTime.Milliseconds(), significantFigures)
 }
--- a/dispatch/classifier/doc.go
+++ b/dispatch/classifier/doc.go
@@ -1,2 +1,2 @@
-// Package classifier learns from what ran how long the tasks of a profile run.
+// Package classifier estimates the run times of the tasks of a profile from those that ran before.
 package classifier
