--- a/dispatch/retrier/attempt.go
+++ b/dispatch/retrier/attempt.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Attempt describes the task that would be sent again.
+// Attempt describes a task that is a candidate for a retry.
 type Attempt struct {
 	Profile    string
 	Repeatable bool
 	Cause      Cause
-	Count      int       // attempts so far
+	Count      int       // previous attempts
 	Deadline   time.Time // zero: none
 }
--- a/dispatch/retrier/budget.go
+++ b/dispatch/retrier/budget.go
@@ -1,31 +1,32 @@
 package retrier
 
-// Budget allows retries as a share of first attempts, so that a fault does not multiply the load. The zero value
-// is ready.
+// Budget limits retries to a share of first attempts, so that a fault does not multiply the load. The zero value is
+// ready to use.
 type Budget struct {
-	tokens float64
-	filled bool
+	tokens      float64
+	initialized bool
 }
 
 const (
-	// defaultRatio is the value of a profile that sets none.
-	defaultRatio = 0.1
-	// burst lets a fault at a quiet time be retried: it is one worker's slots and look-ahead.
-	burst = 11
+	// defaultRatio applies to a profile that sets no ratio.
+	defaultRetryRatio = 0.1
+	// maxTokens is a reserve that covers the loss of one worker, its slots and look-ahead, when few first attempts
+	// arrive.
+	maxTokens = 11
 )
 
-// RecordFirstAttempt notes a first attempt, which pays for ratio retries; 0: the default.
+// RecordFirstAttempt adds the credit of one first attempt, which is ratio retries; a ratio of 0 is the default.
 func (b *Budget) RecordFirstAttempt(ratio float64) {
 	if ratio <= 0 {
-		ratio = defaultRatio
+		ratio = defaultRetryRatio
 	}
-	b.fill()
-	b.tokens = min(b.tokens+ratio, burst)
+	b.init()
+	b.tokens = min(b.tokens+ratio, maxTokens)
 }
 
-// Take pays for one retry and reports whether the budget allows it.
+// Take consumes the credit of one retry and reports whether the budget allows the retry.
 func (b *Budget) Take() bool {
-	b.fill()
+	b.init()
 	if b.tokens < 1 {
 		return false
 	}
@@ -33,8 +34,8 @@
 	return true
 }
 
-func (b *Budget) fill() {
-	if !b.filled {
-		b.filled, b.tokens = true, burst
+func (b *Budget) init() {
+	if !b.initialized {
+		b.initialized, b.tokens = true, maxTokens
 	}
 }
--- a/dispatch/retrier/cause.go
+++ b/dispatch/retrier/cause.go
@@ -1,12 +1,12 @@
 package retrier
 
-// Cause is why a task would be sent again.
+// Cause is the reason for a retry.
 type Cause uint8
 
 // The causes.
 const (
-	// NotStarted: an agent proved that it has not started the task and will not.
+	// NotStarted means that an agent has proved that it has not started the task and will not start it.
 	NotStarted Cause = iota
-	// Lost: the worker is recorded as down, and the task may have run.
+	// Lost means that the worker is recorded as down, and the task may have run.
 	Lost
 )
--- a/dispatch/retrier/retrier.go
+++ b/dispatch/retrier/retrier.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// Retrier plans retries within a budget for each profile. Random is set before use. It is used by one goroutine.
+// Retrier plans retries within a budget for each profile. Random is set before use. A Retrier is not safe for
+// concurrent use.
 type Retrier struct {
 	Random  *rand.Rand
 	budgets map[string]*Budget
 }
 
 const (
-	// firstDelay is longer than a round trip between zones, so that the agent's state has changed.
+	// firstDelay is longer than a round trip between zones, so that the agent's state has changed by the retry.
 	firstDelay = 10 * time.Millisecond
 	maxDelay   = time.Second
 )
 
-// RecordFirstAttempt notes a first attempt of a profile with a retry ratio.
+// RecordFirstAttempt credits the budget of a profile with one first attempt; ratio is the profile's retry ratio.
 func (r *Retrier) RecordFirstAttempt(profile string, ratio float64) {
 	r.budget(profile).RecordFirstAttempt(ratio)
 }
 
-// Plan returns when the task may be sent again, or false when it may not: it may have run and is not repeatable, its
-// deadline would be past, or it is lost and the budget is spent. A task that is proved not started waits the longest
-// delay when the budget is spent, since another agent may still have room for it.
+// Plan returns the time of the retry, or false if the task must not be retried: it may have run and is not repeatable,
+// the retry would come after the deadline, or the worker is lost and the budget is spent. When the budget is spent, a
+// task that was not started is retried after maxDelay, since another agent may still have free capacity.
 func (r *Retrier) Plan(now time.Time, attempt Attempt) (time.Time, bool) {
 	if attempt.Cause == Lost && !attempt.Repeatable {
 		return time.Time{}, false
@@ -36,7 +37,7 @@
 		}
 		delay = maxDelay
 	}
-	// Full jitter above half: tasks that were refused together do not come back together.
+	// The delay is uniform between 50% and 150%, so that tasks that were refused together are not retried together.
 	at := now.Add(delay/2 + time.Duration(r.Random.Int64N(int64(delay))))
 	if !attempt.Deadline.IsZero() && !at.Before(attempt.Deadline) {
 		return time.Time{}, false
@@ -48,10 +49,10 @@
 	if r.budgets == nil {
 		r.budgets = make(map[string]*Budget)
 	}
-	known := r.budgets[profile]
-	if known == nil {
-		known = &Budget{}
-		r.budgets[profile] = known
+	budget := r.budgets[profile]
+	if budget == nil {
+		budget = &Budget{}
+		r.budgets[profile] = budget
 	}
-	return known
+	return budget
 }
