--- a/dispatch/limiter/claim.go
+++ b/dispatch/limiter/claim.go
@@ -1,19 +1,19 @@
 package limiter
 
-// Claim is what one team asks for and gets.
+// Claim is one team's part in an allocation.
 type Claim struct {
-	Share     float64 // weight
+	Share     float64 // weight of the team
 	Need      float64 // slots that the team could use
 	Allocated float64 // slots, set by Fill
 }
 
-// Allocate divides slots by weighted max-min fairness: each claim gets its need or its weighted part, whichever is
-// less, and what some do not need is divided among the others in the same way.
+// Allocate divides slots by weighted max-min fairness: each claim is allocated its need or its weighted part, whichever
+// is less, and slots that some claims do not need are divided among the other claims in the same way.
 func Allocate(slots float64, claims []Claim) {
 	for i := range claims {
 		claims[i].Allocated = 0
 	}
-	// Each round satisfies at least one claim, or divides all that is left.
+	// Each round satisfies at least one claim, or allocates all remaining slots.
 	for range claims {
 		weight := 0.0
 		for _, each := range claims {
--- a/dispatch/limiter/doc.go
+++ b/dispatch/limiter/doc.go
@@ -1,2 +1,2 @@
-// Package limiter divides slots among teams by their shares.
+// Package limiter divides slots among teams in proportion to their shares.
 package limiter
--- a/dispatch/limiter/lease.go
+++ b/dispatch/limiter/lease.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Lease is the slots of each team that one entry may count on until a time on the clock of the process that
-// holds it.
+// Lease grants slots to one entry, by team, until a time. The time is on the clock of the process that has the Lease
+// in memory.
 type Lease struct {
 	Until time.Time
 	Slots map[string]float64 // by team
-	// Contended means that all entries together need more slots than there are.
+	// Contended means that all entries together need more slots than exist.
 	Contended bool
 }
 
-// Total returns the slots of all teams.
+// Total returns the sum of the slots of all teams.
 func (l Lease) Total() float64 {
 	total := 0.0
 	for _, slots := range l.Slots {
--- a/dispatch/limiter/lessor.go
+++ b/dispatch/limiter/lessor.go
@@ -10,23 +10,24 @@
 )
 
 // Lessor divides the slots of a service among teams, and each team's part among the entries that need it. Entries
-// renew with what they need; between renewals they decide alone. The slots of all valid leases never exceed Slots:
-// what an entry may count on is bounded by them, and what runs beyond it is at most what was lent and runs on until
-// its tasks end. Slots, Term and the teams are set before use. E names an entry. It is used by one goroutine.
+// report their need when they renew a lease, and decide on their own between renewals. The slots of all valid leases
+// never exceed Slots. Tasks that run beyond a lease use at most the slots that were lent, and run until they end.
+// Slots, LeaseDuration and the teams are set before use. E identifies an entry. A Lessor is not safe for concurrent
+// use.
 type Lessor[E cmp.Ordered] struct {
 	Slots         float64
 	LeaseDuration time.Duration // of a lease
 	teams         map[string]float64
-	held          map[E]holding
+	grants        map[E]grant
 }
 
-// holding is what one entry asked for and was granted.
-type holding struct {
+// grant is the need that one entry reported and the lease that it was granted.
+type grant struct {
 	need  map[string]float64
 	lease Lease
 }
 
-// SetTeams replaces the shares.
+// SetTeams replaces the teams and their shares.
 func (l *Lessor[E]) SetTeams(teams map[string]specifier.Team) {
 	l.teams = make(map[string]float64, len(teams))
 	for name, each := range teams {
@@ -34,17 +35,17 @@
 	}
 }
 
-// Renew grants an entry a lease by what it and the others need. A part that another entry's valid lease still holds
-// is not granted; that entry gives it up at its own next renewal.
+// Renew grants a lease to an entry, based on the needs of all entries. Slots that are still part of another entry's
+// valid lease are not granted; the other entry releases them at its own next renewal.
 func (l *Lessor[E]) Renew(now time.Time, entry E, need map[string]float64) Lease {
-	if l.held == nil {
-		l.held = make(map[E]holding)
+	if l.grants == nil {
+		l.grants = make(map[E]grant)
 	}
-	maps.DeleteFunc(l.held, func(_ E, h holding) bool { return now.After(h.lease.Until) })
-	l.held[entry] = holding{need: need, lease: Lease{Until: now.Add(l.LeaseDuration)}}
+	maps.DeleteFunc(l.grants, func(_ E, h grant) bool { return now.After(h.lease.Until) })
+	l.grants[entry] = grant{need: need, lease: Lease{Until: now.Add(l.LeaseDuration)}}
 	parts := l.divide(entry)
 	left := l.Slots
-	for other, each := range l.held {
+	for other, each := range l.grants {
 		if other != entry {
 			left -= each.lease.Total()
 		}
@@ -59,7 +60,7 @@
 		}
 	}
 	lease := Lease{Until: now.Add(l.LeaseDuration), Slots: parts, Contended: l.contended()}
-	l.held[entry] = holding{need: need, lease: lease}
+	l.grants[entry] = grant{need: need, lease: lease}
 	return lease
 }
 
@@ -78,14 +79,14 @@
 	parts := make(map[string]float64, len(names))
 	for i, name := range names {
 		if claims[i].Need > 0 {
-			// What no team needs is lent in the same proportions, ready for more work.
-			parts[name] = claims[i].Allocated * l.held[entry].need[name] / claims[i].Need * (1 + spare/max(l.Slots-spare, 1))
+			// Slots that no team needs are lent in the same proportions, so that entries can use them for new work at once.
+			parts[name] = claims[i].Allocated * l.grants[entry].need[name] / claims[i].Need * (1 + spare/max(l.Slots-spare, 1))
 		}
 	}
 	return parts
 }
 
-// contended reports whether the entries together need more slots than there are.
+// contended reports whether the entries together need more slots than exist.
 func (l *Lessor[E]) contended() bool {
 	total := 0.0
 	for _, team := range slices.Sorted(maps.Keys(l.teams)) {
@@ -94,12 +95,12 @@
 	return total > l.Slots
 }
 
-// need returns what all entries need for a team, added up in the order of entries so that the sum is the same on
-// every run.
+// need returns the need of all entries for a team. The entries are added in sorted order, so that the floating-point
+// sum is the same on every run.
 func (l *Lessor[E]) need(team string) float64 {
 	total := 0.0
-	for _, entry := range slices.Sorted(maps.Keys(l.held)) {
-		total += l.held[entry].need[team]
+	for _, entry := range slices.Sorted(maps.Keys(l.grants)) {
+		total += l.grants[entry].need[team]
 	}
 	return total
 }
--- a/dispatch/limiter/limiter_test.go
+++ b/dispatch/limiter/limiter_test.go
@@ -12,8 +12,8 @@
 
 var start = time.Unix(0, 0)
 
-// TestFill guards against idle slots while a team needs some, and against more than there are.
-func TestFill(t *testing.T) {
+// TestAllocate guards against slots that stay idle while a team needs them, and against allocating more slots than exist.
+func TestAllocate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.Float64Range(0, 100).Draw(t, "slots")
 		claims := make([]Claim, rapid.IntRange(1, 8).Draw(t, "teams"))
@@ -32,7 +32,8 @@
 	})
 }
 
-// TestLeases guards against several entries that together count on more slots than there are.
+// TestLeases guards against over-commitment: several entries, which renew at different times, together have valid leases
+// for more slots than exist.
 func TestLeases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := &Lessor[int]{Slots: 88, LeaseDuration: 3 * time.Second}
@@ -58,11 +59,11 @@
 	l := &Limiter{}
 	l.SetTeams(map[string]specifier.Team{"a": {Share: 1}, "b": {Share: 3}})
 	l.AddWaiting("a", 100, time.Minute)
-	t.Run("an unused share is lent", func(t *testing.T) {
+	t.Run("an unused share is lent to another team", func(t *testing.T) {
 		must.Eq(t, 40, l.Allocation(start, "a", 40))
 		must.Eq(t, 0, l.Delay(start, "a", 40))
 	})
-	t.Run("and taken back", func(t *testing.T) {
+	t.Run("a lent share is reclaimed when its team has work", func(t *testing.T) {
 		l.AddWaiting("b", 100, time.Minute)
 		must.Eq(t, 10, l.Allocation(start, "a", 40))
 		must.Eq(t, 6*time.Second, l.Delay(start, "a", 40))
