--- a/dispatch/ejector/breaker.go
+++ b/dispatch/ejector/breaker.go
@@ -1,13 +1,13 @@
 package ejector
 
-// Breaker decides from a worker's outcomes when it is ejected.
+// Breaker decides, from the outcomes of tasks on a worker, when the worker is ejected.
 type Breaker[B any] interface {
 	*B
-	// Record notes an outcome: weight is 0 for a success, more for a failure that says more. It reports
-	// whether the worker should be ejected, given the weight at which it is.
+	// Record adds an outcome: weight is 0 for a success, and higher for a failure that is stronger evidence of a faulty
+	// worker. Record reports whether the weights reach the threshold, so that the worker should be ejected.
 	Record(weight, threshold int) bool
 	// LastFailed reports whether the last outcome was a failure.
 	LastFailed() bool
-	// Reset forgets all outcomes.
+	// Reset discards all outcomes.
 	Reset()
 }
--- a/dispatch/ejector/consecutive.go
+++ b/dispatch/ejector/consecutive.go
@@ -1,6 +1,6 @@
 package ejector
 
-// Consecutive trips when the weights of failures without a success between them reach the threshold.
+// Consecutive trips when the total weight of consecutive failures reaches the threshold.
 type Consecutive struct {
 	weight int
 }
--- a/dispatch/ejector/doc.go
+++ b/dispatch/ejector/doc.go
@@ -1,2 +1,2 @@
-// Package ejector finds workers that fail or slow down, and keeps work from them.
+// Package ejector detects workers that fail or slow down, and limits the work that they get.
 package ejector
--- a/dispatch/ejector/outcome.go
+++ b/dispatch/ejector/outcome.go
@@ -6,30 +6,30 @@
 	"oleandertally/core/specifier"
 )
 
-// Outcome is how a task ended on a worker.
+// Outcome is the result of a task on a worker.
 type Outcome struct {
 	Job       specifier.JobID
 	OK        bool
 	Sent      time.Time     // when the task was sent to the worker
-	RunTime   time.Duration // as the worker measured it
-	Expected  time.Duration // mean run time of the profile; 0: not known
-	Threshold int           // failures in a row that eject a worker; 0: the default
+	RunTime   time.Duration // as measured by the worker
+	Expected  time.Duration // mean run time of the profile; 0: unknown
+	Threshold int           // consecutive failures that eject a worker; 0: the default
 }
 
 const (
-	// defaultThreshold is the value of a profile that sets none.
+	// defaultThreshold applies to a profile that sets no threshold.
 	defaultThreshold = 5
-	// fastShare of the expected run time is how soon a failure must come to count three times: a worker
-	// that fails everything at once looks idle and draws work, so that two such jobs are enough.
-	fastShare = 0.1
+	// fastFailureShare is the share of the expected run time below which a failure counts three times. A worker that
+	// fails everything immediately looks idle and attracts work, so two such jobs are enough to eject the worker.
+	fastFailureShare = 0.1
 )
 
-// weight returns what the outcome adds to a breaker.
+// weight returns the weight of the outcome for a breaker.
 func (o Outcome) weight() int {
 	switch {
 	case o.OK:
 		return 0
-	case o.RunTime < time.Duration(fastShare*float64(o.Expected)):
+	case o.RunTime < time.Duration(fastFailureShare*float64(o.Expected)):
 		return 3
 	}
 	return 1
--- a/dispatch/ejector/slidingwindow.go
+++ b/dispatch/ejector/slidingwindow.go
@@ -1,15 +1,15 @@
 package ejector
 
-// SlidingWindow trips when failures make up half of the last outcomes and their weights reach the threshold.
-// It also finds a worker that fails every other task, which Consecutive never does.
+// SlidingWindow trips when at least half of the last outcomes are failures and their total weight reaches the threshold.
+// Unlike Consecutive, SlidingWindow also detects a worker that fails every other task.
 type SlidingWindow struct {
-	outcomes [windowSize]uint8
-	next     int
-	count    int
-	last     int
+	outcomes   [windowSize]uint8
+	next       int
+	count      int
+	lastWeight int
 }
 
-// windowSize is enough to hold the outcomes of two rounds of 8 slots.
+// windowSize covers two tasks for each of 8 slots.
 const windowSize = 16
 
 // Record implements Breaker.
@@ -17,7 +17,7 @@
 	s.outcomes[s.next] = uint8(weight)
 	s.next = (s.next + 1) % windowSize
 	s.count = min(s.count+1, windowSize)
-	s.last = weight
+	s.lastWeight = weight
 	total, failures := 0, 0
 	for _, each := range s.outcomes[:s.count] {
 		total += int(each)
@@ -29,7 +29,7 @@
 }
 
 // LastFailed implements Breaker.
-func (s *SlidingWindow) LastFailed() bool { return s.last > 0 }
+func (s *SlidingWindow) LastFailed() bool { return s.lastWeight > 0 }
 
 // Reset implements Breaker.
 func (s *SlidingWindow) Reset() { *s = SlidingWindow{} }
--- a/dispatch/ejector/worker.go
+++ b/dispatch/ejector/worker.go
@@ -6,35 +6,35 @@
 	"oleandertally/core/specifier"
 )
 
-// Worker is the health of one worker as one entry sees it.
+// Worker is the health of one worker as observed by one entry.
 type Worker[B any, T Breaker[B]] struct {
-	breaker  B
-	state    State
-	until    time.Time // of the ejection
-	ejected  int       // ejections in a row, each of which lasts longer
-	allowed  int       // tasks at once, while it returns
-	failedAt time.Time // last failure that counts
-	lastJob  specifier.JobID
-	jobs     int     // that failed in a row
-	slow     float64 // moving average of the share of slow tasks
+	breaker        B
+	state          State
+	ejectedUntil   time.Time // end of the ejection
+	ejections      int       // consecutive ejections; each lasts longer than the one before
+	returningTasks int       // limit of concurrent tasks while returning
+	failedAt       time.Time // time of the last failure that was counted
+	lastFailedJob  specifier.JobID
+	failedJobs     int     // consecutive failures that were counted
+	slowShare      float64 // moving average of the share of slow tasks
 }
 
-// State returns how the worker is treated.
+// State returns the state of the worker.
 func (w *Worker[B, T]) State() State { return w.state }
 
-// Limit returns how many tasks the worker may hold, given how many it holds and could hold. A worker whose
-// last outcome was a failure gets one more at a time until a task that was sent later succeeds.
+// Limit returns how many tasks may be assigned to the worker. After a failure, the worker gets one task at a time until
+// a task that was sent after the failure succeeds; sentSinceFailure is the number of assigned tasks sent since then.
 func (w *Worker[B, T]) Limit(now time.Time, slots, sentSinceFailure int) int {
 	switch w.state {
 	case Ejected:
-		if now.Before(w.until) {
+		if now.Before(w.ejectedUntil) {
 			return 0
 		}
 		return 1
 	case Probing:
 		return 1
 	case Returning:
-		return w.allowed
+		return w.returningTasks
 	}
 	if T(&w.breaker).LastFailed() && sentSinceFailure > 0 {
 		return 0
@@ -42,13 +42,13 @@
 	return slots
 }
 
-// Weight returns the share of its slots that the worker should be given: less by degrees for a straggler, 0 for
-// one on which most tasks are slow, which should get work only when no other has a free slot.
+// Weight returns the share of its slots that the worker should use. The weight of a straggler decreases gradually. At a
+// weight of 0, most tasks on the worker are slow, and it should get work only when no other worker has a free slot.
 func (w *Worker[B, T]) Weight() float64 {
-	return max(min((slowTo-w.slow)/(slowTo-slowFrom), 1), 0)
+	return max(min((zeroWeightSlowShare-w.slowShare)/(zeroWeightSlowShare-fullWeightSlowShare), 1), 0)
 }
 
-// FailedAt returns when the last failure came that makes the worker suspect, or the zero time.
+// FailedAt returns the time of the last failure of a healthy worker, or the zero time if the last outcome was a success.
 func (w *Worker[B, T]) FailedAt() time.Time {
 	if w.state == Healthy && T(&w.breaker).LastFailed() {
 		return w.failedAt
@@ -57,25 +57,25 @@
 }
 
 const (
-	// SlowRatio is the run time over the expected one from which a task counts as slow. Of tasks of 50 ms to 1 s
-	// with rare long ones, 1% are; on a worker at a fifth of its speed, 80%.
+	// SlowRatio is the ratio of actual to expected run time above which a task counts as slow. For tasks of 50 ms to
+	// 1 s with rare long tasks, 1% are slow on a healthy worker, and 80% on a worker at a fifth of its speed.
 	SlowRatio = 2
-	// slowFrom and slowTo are the average of slow tasks at which a worker loses its first and its last share.
-	// A healthy worker needs two slow tasks among three to reach the first.
-	slowFrom = 0.25
-	slowTo   = 0.6
-	// smoothing averages over about 7 tasks: a straggler answers few.
-	smoothing = 0.15
+	// The weight of a worker falls from 1 at an average share of slow tasks of fullWeightSlowShare to 0 at
+	// zeroWeightSlowShare. A healthy worker needs two slow tasks among three to reach the former.
+	fullWeightSlowShare = 0.25
+	zeroWeightSlowShare = 0.6
+	// slowShareSmoothing averages over about 7 tasks, since a straggler completes few.
+	slowShareSmoothing = 0.15
 )
 
-// RecordSlow notes that a task has run for SlowRatio of its expected time and has not ended.
-func (w *Worker[B, T]) RecordSlow() { w.ran(SlowRatio + 1) }
+// RecordSlow records that a task has run for SlowRatio times its expected run time and has not ended.
+func (w *Worker[B, T]) RecordSlow() { w.recordRatio(SlowRatio + 1) }
 
-// ran notes how a run time compares with what its profile leads to expect.
-func (w *Worker[B, T]) ran(ratio float64) {
+// recordRatio records the ratio of actual to expected run time of a task.
+func (w *Worker[B, T]) recordRatio(ratio float64) {
 	slow := 0.0
 	if ratio > SlowRatio {
 		slow = 1
 	}
-	w.slow += smoothing * (slow - w.slow)
+	w.slowShare += slowShareSmoothing * (slow - w.slowShare)
 }
