--- a/dispatch/orderer/byarrival.go
+++ b/dispatch/orderer/byarrival.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// ByArrival is the baseline: jobs in order of arrival.
+// ByArrival is the baseline policy: jobs start in order of arrival.
 type ByArrival struct{}
 
 // OrderTime returns arrival.
--- a/dispatch/orderer/doc.go
+++ b/dispatch/orderer/doc.go
@@ -1,2 +1,2 @@
-// Package orderer decides the order in which tasks are started, at entries and at agents alike.
+// Package orderer decides the order in which entries and agents start tasks.
 package orderer
--- a/dispatch/orderer/key.go
+++ b/dispatch/orderer/key.go
@@ -6,19 +6,19 @@
 	"oleandertally/core/specifier"
 )
 
-// TaskPenalty is the time that each task of a job adds to its order key. Wide jobs then
-// wait behind narrow ones that arrive a little later, without any knowledge of run times.
+// TaskPenalty is the time that each task of a job adds to the job's order key. Wide jobs then wait behind narrow jobs
+// that arrive slightly later, without any knowledge of run times.
 const TaskPenalty = 100 * time.Millisecond
 
-// Key is the position of a task in the order of starts: the earlier time first, then job and task.
-// The time is on the clock of the process that holds the key.
+// Key is the position of a task in the order in which tasks start: by time, then by job and task. The time is on the
+// clock of the process that has the Key in memory.
 type Key struct {
 	At   time.Time
 	Job  specifier.JobID
 	Task string
 }
 
-// NewKey returns the key of a task of a job that arrived at arrival with tasks tasks.
+// NewKey returns the key of a task of a job that arrived at the given time with the given number of tasks.
 func NewKey(arrival time.Time, tasks, priority int, key specifier.TaskKey) Key {
 	at := arrival.Add(time.Duration(tasks-priority) * TaskPenalty)
 	return Key{At: at, Job: key.Job, Task: key.Task}
--- a/dispatch/orderer/key_test.go
+++ b/dispatch/orderer/key_test.go
@@ -7,8 +7,8 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestGuard(t *testing.T) {
-	t.Run("a wide job is not passed over until it is too late", func(t *testing.T) {
+func TestLimitOvertaking(t *testing.T) {
+	t.Run("a wide job is not overtaken until its deadline cannot be met", func(t *testing.T) {
 		key := Key{At: start.Add(27 * time.Second)}
 		must.Eq(t, start.Add(4*time.Second), key.LimitOvertaking(start, start.Add(10*time.Second)).At)
 	})
@@ -16,7 +16,7 @@
 		key := Key{At: start.Add(time.Second)}
 		must.Eq(t, key, key.LimitOvertaking(start, start.Add(10*time.Second)))
 	})
-	t.Run("no deadline, no guard", func(t *testing.T) {
+	t.Run("a key without a deadline stays", func(t *testing.T) {
 		key := Key{At: start.Add(27 * time.Second)}
 		must.Eq(t, key, key.LimitOvertaking(start, time.Time{}))
 	})
--- a/dispatch/orderer/policy.go
+++ b/dispatch/orderer/policy.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Policy turns the arrival of a job into the time of its order key.
+// Policy decides the time of a job's order key from the job's arrival, width and priority.
 type Policy interface {
 	OrderTime(arrival time.Time, tasks, priority int) time.Time
 }
--- a/dispatch/orderer/queue_test.go
+++ b/dispatch/orderer/queue_test.go
@@ -14,14 +14,14 @@
 
 var start = time.Unix(0, 0)
 
-func entry(task string, class classifier.Class) QueuedTask {
-	job := specifier.NewJobID("team", task)
-	return QueuedTask{Key: Key{At: start, Job: job, Task: task}, Class: class, Deadline: start.Add(time.Hour)}
+func newTask(name string, class classifier.Class) QueuedTask {
+	job := specifier.NewJobID("team", name)
+	return QueuedTask{Key: Key{At: start, Job: job, Task: name}, Class: class, Deadline: start.Add(time.Hour)}
 }
 
 func push(q *Queue, now time.Time, class classifier.Class, count int, prefix string) {
 	for i := range count {
-		q.Push(now, entry(fmt.Sprint(prefix, i), class))
+		q.Push(now, newTask(fmt.Sprint(prefix, i), class))
 	}
 }
 
@@ -32,8 +32,8 @@
 }
 
 func TestQueue(t *testing.T) {
-	t.Run("long work leaves slots while short work arrives", func(t *testing.T) {
-		// Guards against long tasks in every slot of a worker.
+	t.Run("long work leaves slots free while short work arrives", func(t *testing.T) {
+		// Guards against short work that waits for seconds because long tasks occupy every slot of a worker.
 		q := &Queue{Slots: 8}
 		push(q, start, classifier.Short, 1, "s")
 		push(q, start, classifier.Long, 20, "l")
@@ -46,17 +46,17 @@
 		push(q, start.Add(2*time.Second), classifier.Short, 1, "s")
 		mustStart(t, q, start.Add(2*time.Second), 1)
 	})
-	t.Run("the share comes back when short work arrives", func(t *testing.T) {
+	t.Run("borrowed slots return to short work when it arrives", func(t *testing.T) {
 		q := &Queue{Slots: 8}
 		push(q, start, classifier.Long, 20, "l")
 		now := start.Add(2 * time.Second)
 		started := q.Start(now)
 		push(q, now, classifier.Short, 1, "s")
 		q.Done(now, started[0].TaskKey())
-		mustStart(t, q, now, 1) // the short one; long work already holds more than its share
+		mustStart(t, q, now, 1) // the short task, since long work already uses more than its share
 	})
-	t.Run("a task that outruns its class counts as long", func(t *testing.T) {
-		// Guards against slots filled by tasks whose declared size is too small.
+	t.Run("a task that runs longer than its class counts as long", func(t *testing.T) {
+		// Guards against long tasks in every slot because their profile declares too short a run time.
 		q := &Queue{Slots: 8}
 		push(q, start, classifier.Short, 4, "s")
 		mustStart(t, q, start, 4)
@@ -65,7 +65,7 @@
 		push(q, now, classifier.Long, 4, "l")
 		mustStart(t, q, now, 1)
 	})
-	t.Run("one slot runs long work too", func(t *testing.T) {
+	t.Run("a worker with one slot runs long work too", func(t *testing.T) {
 		q := &Queue{Slots: 1}
 		push(q, start, classifier.Long, 1, "l")
 		mustStart(t, q, start, 1)
@@ -80,7 +80,8 @@
 	})
 }
 
-// TestQueueProperties guards against a task that starts twice or vanishes, and against more tasks than slots.
+// TestQueueProperties guards against a task that starts twice or is lost, and against more running tasks than slots, under
+// random sequences of operations.
 func TestQueueProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := &Queue{Slots: rapid.IntRange(1, 8).Draw(t, "slots")}
@@ -89,7 +90,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"push": func(t *rapid.T) {
 				class := classifier.Class(rapid.IntRange(0, 2).Draw(t, "class"))
-				if q.Push(now, entry(fmt.Sprint(pushed), class)) {
+				if q.Push(now, newTask(fmt.Sprint(pushed), class)) {
 					pushed++
 				}
 			},
@@ -121,5 +122,5 @@
 	if len(q.running) == 0 {
 		return specifier.TaskKey{}, false
 	}
-	return q.running[0].entry.TaskKey(), true
+	return q.running[0].task.TaskKey(), true
 }
--- a/dispatch/orderer/queuedtask.go
+++ b/dispatch/orderer/queuedtask.go
@@ -7,16 +7,16 @@
 	"oleandertally/dispatch/classifier"
 )
 
-// QueuedTask is one task in an agent's queue.
+// QueuedTask is a task in an agent's queue.
 type QueuedTask struct {
 	Key      Key
-	Deadline time.Time // the task is dropped when it has not started by then; zero: never
+	Deadline time.Time // the task is dropped if it has not started by then; zero: none
 	Class    classifier.Class
 	Profile  string
 	Team     string
 }
 
-// TaskKey returns the task that the entry stands for.
+// TaskKey returns the identity of the task.
 func (e QueuedTask) TaskKey() specifier.TaskKey {
 	return specifier.TaskKey{Job: e.Key.Job, Task: e.Key.Task}
 }
--- a/dispatch/orderer/reporter_test.go
+++ b/dispatch/orderer/reporter_test.go
@@ -9,42 +9,43 @@
 	"oleandertally/core/specifier"
 )
 
-// mustTell checks which entries are told, in order.
-func mustTell(t *testing.T, r *Reporter[string], now time.Time, load specifier.Load, want ...string) {
+// mustReport checks to which entries the load is sent, in order.
+func mustReport(t *testing.T, r *Reporter[string], now time.Time, load specifier.Load, want ...string) {
 	t.Helper()
 	must.Eq(t, want, r.Due(now, load))
 }
 
-// TestReporter guards against entries that take an agent for full or free for ever, and against a flood of reports.
+// TestReporter guards against entries that assume forever that an agent is full or free, because nothing corrects their
+// view, and against too many reports.
 func TestReporter(t *testing.T) {
 	full, idle := specifier.Load{Slots: 8, Running: 8}, specifier.Load{Slots: 8}
-	t.Run("an entry that takes the agent for full", func(t *testing.T) {
+	t.Run("an entry that assumes that the agent is full gets a report", func(t *testing.T) {
 		r := &Reporter[string]{}
 		r.Add(start, "a", full)
 		r.Add(start, "b", idle)
-		mustTell(t, r, start, idle, "a")
-		mustTell(t, r, start, idle)
+		mustReport(t, r, start, idle, "a")
+		mustReport(t, r, start, idle)
 	})
-	t.Run("a quiet entry that takes it for free", func(t *testing.T) {
+	t.Run("an entry that assumes free slots gets a report after the quiet delay", func(t *testing.T) {
 		r := &Reporter[string]{}
 		r.Add(start, "a", idle)
-		mustTell(t, r, start, full)
-		must.Eq(t, start.Add(quietAfter), r.Next(full))
-		mustTell(t, r, r.Next(full), full, "a")
+		mustReport(t, r, start, full)
+		must.Eq(t, start.Add(quietDelay), r.Next(full))
+		mustReport(t, r, r.Next(full), full, "a")
 		must.True(t, r.Next(full).IsZero())
 	})
-	t.Run("a burst", func(t *testing.T) {
+	t.Run("a burst of reports is limited", func(t *testing.T) {
 		r := &Reporter[string]{}
 		r.Add(start, "a", full)
-		for i := range maxReports {
-			mustTell(t, r, start, []specifier.Load{idle, {Slots: 8, Running: 8, Queued: 2}}[i%2], "a")
+		for i := range maxReportBurst {
+			mustReport(t, r, start, []specifier.Load{idle, {Slots: 8, Running: 8, Queued: 2}}[i%2], "a")
 		}
-		mustTell(t, r, start, idle)
+		mustReport(t, r, start, idle)
 		must.True(t, r.Next(idle).IsZero())
 		for range 3 {
-			r.TaskEnded() // pays for one
+			r.TaskEnded() // credit for one report
 		}
-		mustTell(t, r, start, idle, "a")
-		mustTell(t, r, start, full)
+		mustReport(t, r, start, idle, "a")
+		mustReport(t, r, start, full)
 	})
 }
