--- a/dispatch/scheduler/agent.go
+++ b/dispatch/scheduler/agent.go
@@ -6,29 +6,29 @@
 	"oleandertally/core/specifier"
 )
 
-// agent is what this entry knows of one agent.
+// agent is the state of one agent as known to this entry.
 type agent struct {
-	member specifier.Member
-	linked bool
-	zone   *zone
-	pool   *pool
-	at     [lanes]place
+	member    specifier.Member
+	connected bool
+	zone      *zone
+	pool      *pool
+	positions [laneCount]indexPosition
 
-	health     health
-	load       specifier.Load // as last reported
-	reportedAt time.Time
-	others     int // tasks of other entries, as of the last report
-	held       map[specifier.TaskKey]*task
-	long       int       // held tasks in the limited lane
-	paceAt     time.Time // start of the current pace interval
-	paced      int       // tasks sent in it
+	health       health
+	load         specifier.Load // from the last report
+	reportedAt   time.Time
+	otherTasks   int // tasks of other entries, from the last report
+	assigned     map[specifier.TaskKey]*task
+	longAssigned int       // assigned tasks in the long lane
+	paceStart    time.Time // start of the current pace interval
+	sentInPace   int       // tasks sent in the current pace interval
 
-	refusedUntil time.Time // it gets no task before
+	refusedUntil time.Time // no task is sent before, since the agent refused one
 }
 
 // slots returns how many tasks the agent can run at once.
 func (a *agent) slots() int {
-	if !a.linked || a.member.State != specifier.Up {
+	if !a.connected || a.member.State != specifier.Up {
 		return 0
 	}
 	return min(a.member.Slots, a.load.Slots)
--- a/dispatch/scheduler/delayed.go
+++ b/dispatch/scheduler/delayed.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// delayed is a task that is queued again later.
+// delayed is a task that is pushed to its queue at a later time.
 type delayed struct {
 	at   time.Time
 	task *task
--- a/dispatch/scheduler/dispatch.go
+++ b/dispatch/scheduler/dispatch.go
@@ -4,77 +4,78 @@
 	"time"
 )
 
-// Dispatch returns what can be sent now, in order. The slice is valid until the next call.
+// Dispatch returns the assignments that can be sent now, in order. The slice is valid until the next call.
 func (e *Engine[P, T]) Dispatch(now time.Time) []Assignment {
-	e.sending = e.sending[:0]
-	e.dispatched = now
-	e.wake(now)
+	e.assignments = e.assignments[:0]
+	e.dispatchedAt = now
+	e.pushDelayed(now)
 	if e.queued() == 0 {
 		return nil
 	}
-	e.refresh(now)
-	for _, pool := range e.order {
+	e.refreshIndexes(now)
+	for _, pool := range e.sortedPools {
 		for e.sendNext(now, pool) {
 		}
 	}
-	return e.sending
+	return e.assignments
 }
 
-// sendNext sends the first task, of either lane, for which an agent has room.
+// sendNext sends the first task, from either lane, for which an agent has capacity. It returns false if there is none.
 func (e *Engine[P, T]) sendNext(now time.Time, pool *pool) bool {
-	first, ok := pool.peek(free)
-	if second, also := pool.peek(limited); also && (!ok || second.item.Order.Less(first.item.Order)) {
-		if e.send(now, pool, second) {
+	short, hasShort := pool.peek(shortLane)
+	if long, hasLong := pool.peek(longLane); hasLong && (!hasShort || long.item.Order.Less(short.item.Order)) {
+		if e.send(now, pool, long) {
 			return true
 		}
-	} else if !also || !ok {
-		return ok && e.send(now, pool, first)
-	} else if e.send(now, pool, first) {
+	} else if !hasLong || !hasShort {
+		return hasShort && e.send(now, pool, short)
+	} else if e.send(now, pool, short) {
 		return true
 	} else {
-		return e.send(now, pool, second)
+		return e.send(now, pool, long)
 	}
-	return ok && e.send(now, pool, first)
+	return hasShort && e.send(now, pool, short)
 }
 
-// send places the first task of a lane.
+// send assigns the first task of a lane to an agent, or abandons the task's job if the task is too late. It returns
+// false if no agent has capacity.
 func (e *Engine[P, T]) send(now time.Time, pool *pool, next *task) bool {
-	rule := e.rule(now)
-	rule.patient = next.lane == limited || next.item.Order.At.Sub(now) > urgentWithin
-	if next.late(now) {
+	c := e.constraints(now)
+	c.canWait = next.lane == longLane || next.item.Order.At.Sub(now) > urgentWindow
+	if next.tooLate(now) {
 		e.abandon(next.job)
 		return true
 	}
-	agent := T(&e.placement).pick(pool, next.lane, rule, e.random)
+	agent := T(&e.placement).pick(pool, next.lane, c, e.random)
 	if agent == nil {
 		return false
 	}
 	pool.waiting[next.lane].Pop()
-	pool.count(next, -1)
-	next.agent, next.sent = agent, now
+	pool.addToTotals(next, -1)
+	next.agent, next.sentAt = agent, now
 	next.attempts++
-	agent.held[next.item.Key] = next
-	next.job.note(next)
-	pool.held++
+	agent.assigned[next.item.Key] = next
+	next.job.addSent(next)
+	pool.assigned++
 	pool.limiter.AddAssigned(next.item.Team, 1)
-	pool.short.observe(now, pool.held-pool.long)
-	if next.lane == limited {
-		agent.long++
-		pool.long++
-		agent.zone.long++
+	pool.shortNeed.observe(now, pool.assigned-pool.longAssigned)
+	if next.lane == longLane {
+		agent.longAssigned++
+		pool.longAssigned++
+		agent.zone.longAssigned++
 	}
-	if agent.pace(now); agent.paced == paceTasks {
-		e.paced = append(e.paced, agent)
+	if agent.countSent(now); agent.sentInPace == paceTasks {
+		e.pacedAgents = append(e.pacedAgents, agent)
 	}
 	e.ejector.TaskSent(&agent.health)
-	e.update(now, agent)
-	e.sending = append(e.sending, Assignment{Agent: agent.member.Identity, Item: next.item})
+	e.updateIndex(now, agent)
+	e.assignments = append(e.assignments, Assignment{Agent: agent.member.Identity, Item: next.item})
 	return true
 }
 
-func (a *agent) pace(now time.Time) {
-	if now.Sub(a.paceAt) >= paceInterval {
-		a.paceAt, a.paced = now, 0
+func (a *agent) countSent(now time.Time) {
+	if now.Sub(a.paceStart) >= paceInterval {
+		a.paceStart, a.sentInPace = now, 0
 	}
-	a.paced++
+	a.sentInPace++
 }
--- a/dispatch/scheduler/engine.go
+++ b/dispatch/scheduler/engine.go
@@ -13,55 +13,58 @@
 	"oleandertally/dispatch/retrier"
 )
 
-// Engine holds the tasks of one entry until an agent has room, in the order of their keys. The placement
-// is a type parameter. Zone and Seed are set before use; the zero value of the others is ready. It is used
-// by one goroutine.
+// Engine queues the tasks of one entry, in the order of their keys, until an agent has capacity for them. The placement
+// is a type parameter. Zone and Seed are set before use; the zero value of the other fields is ready to use. An Engine
+// is not safe for concurrent use.
 type Engine[P any, T Placement[P]] struct {
 	Zone string // of this entry
-	Seed uint64 // of the random choices; entries must have different seeds
+	Seed uint64 // of random choices; different for each entry
 	// Admission decides on new jobs; default admitter.ByFinish.
 	Admission admitter.Policy
 
-	placement  P
-	random     *rand.Rand
-	agents     map[specifier.Identity]*agent
-	pools      map[string]*pool
-	order      []*pool // by service
-	jobs       map[specifier.JobID]*job
-	profiles   map[string]specifier.Profile
-	classifier classifier.Classifier
-	entries    int
-	teams      map[string]specifier.Team
-	ejector    ejector.Ejector[breaker, *breaker]
-	retrier    retrier.Retrier
-	delayed    container.Heap[delayed]
-	ejected    []specifier.Identity
-	lastShort  time.Time
-	refreshed  time.Time
-	dispatched time.Time // last call of Dispatch; Next lies after it
-	slowAt     time.Time
-	paced      []*agent // sent paceTasks tasks lately, oldest first
-	spare      []*task
-	sending    []Assignment // the buffer that Dispatch returns
+	placement     P
+	random        *rand.Rand
+	agents        map[specifier.Identity]*agent
+	pools         map[string]*pool
+	sortedPools   []*pool // by service name
+	jobs          map[specifier.JobID]*job
+	profiles      map[string]specifier.Profile
+	classifier    classifier.Classifier
+	entries       int
+	teams         map[string]specifier.Team
+	ejector       ejector.Ejector[breaker, *breaker]
+	retrier       retrier.Retrier
+	delayed       container.Heap[delayed]
+	ejected       []specifier.Identity
+	lastShortAt   time.Time
+	refreshedAt   time.Time
+	dispatchedAt  time.Time // time of the last call of Dispatch; Next returns a later time
+	slowCheckedAt time.Time
+	pacedAgents   []*agent // agents that were sent paceTasks tasks in their pace interval, oldest first
+	spareTasks    []*task
+	assignments   []Assignment // the buffer that Dispatch returns
 }
 
 const (
-	// refreshEvery is how often room that depends on the age of reports is computed again while tasks wait.
-	refreshEvery = 20 * time.Millisecond
-	// slowEvery is how often running tasks are looked at: often against the seconds that a straggler takes, rarely
-	// enough to cost under a thousandth of a core at 940 agents.
-	slowEvery = 250 * time.Millisecond
-	// queueTime is what a task may wait at its agent before it starts; 99% start sooner.
-	queueTime = 500 * time.Millisecond
-	// refusalPause is how long an agent that refused a task gets none: its upstream is absent or it is draining, and
-	// the report or record of this is on its way.
-	refusalPause = 100 * time.Millisecond
-	// unlearnedShare of the time left lets a job of a profile that has not run through admission.
+	// refreshInterval is the time between updates of the agents' capacity, which depends on the age of reports, while
+	// tasks wait.
+	refreshInterval = 20 * time.Millisecond
+	// slowCheckInterval is the time between checks for slow running tasks. It is short compared to the seconds that a
+	// task takes on a straggler, and long enough that the checks cost less than a thousandth of a core at 940 agents.
+	slowCheckInterval = 250 * time.Millisecond
+	// maxQueueTime is the allowance for the wait at an agent before a task starts; 99% of tasks start sooner.
+	maxQueueTime = 500 * time.Millisecond
+	// refusalDelay is the time during which an agent that refused a task is sent no tasks. The agent's upstream is absent
+	// or the agent is draining, and this state has not reached the entry yet.
+	refusalDelay = 100 * time.Millisecond
+	// unlearnedShare is the upper limit of the expected run time of a profile without enough samples, as a share of the
+	// time to the deadline. It lets the first jobs of the profile pass admission.
 	unlearnedShare = 0.1
-	// urgentWithin is how far ahead a key may lie to count as nearly due. A job of 10 tasks is so on arrival.
-	urgentWithin = time.Second
-	// lendAfter is how long no short work must have arrived before long work may take more than its share.
-	lendAfter = time.Second
+	// urgentWindow is the time before its order key from which a task counts as nearly due. The tasks of a job of 10
+	// tasks are nearly due on arrival.
+	urgentWindow = time.Second
+	// borrowDelay is the time without an arrival of short work after which long work may use more than its share.
+	borrowDelay = time.Second
 )
 
 func (e *Engine[P, T]) init() {
@@ -80,26 +83,26 @@
 	e.delayed.Less = func(a, b delayed) bool { return a.before(b) }
 }
 
-// SetConnected says whether the entry has a stream to the agent.
-func (e *Engine[P, T]) SetConnected(now time.Time, id specifier.Identity, linked bool) {
+// SetConnected records whether the entry has a stream to the agent.
+func (e *Engine[P, T]) SetConnected(now time.Time, id specifier.Identity, connected bool) {
 	if agent := e.agents[id]; agent != nil {
-		agent.linked = linked
-		e.update(now, agent)
+		agent.connected = connected
+		e.updateIndex(now, agent)
 	}
 }
 
-// UpdateLoad notes the load that an agent reported.
+// UpdateLoad records the load that an agent reported.
 func (e *Engine[P, T]) UpdateLoad(now time.Time, id specifier.Identity, load specifier.Load) {
 	if agent := e.agents[id]; agent != nil {
 		agent.load, agent.reportedAt = load, now
-		// Tasks still on their way to the agent are counted as held but are not in the report, so that
-		// the others are rather believed too few: the next report corrects it.
-		agent.others = max(load.Running+load.Queued-len(agent.held), 0)
-		e.update(now, agent)
+		// Tasks in transit to the agent are counted as assigned but are not in the report, so the tasks of other entries
+		// may be underestimated until the next report.
+		agent.otherTasks = max(load.Running+load.Queued-len(agent.assigned), 0)
+		e.updateIndex(now, agent)
 	}
 }
 
-// RemoveJob drops every task of a job: those that wait, and the count of those that agents hold.
+// RemoveJob removes a job with its waiting tasks, and no longer counts its tasks that are assigned to agents.
 func (e *Engine[P, T]) RemoveJob(id specifier.JobID) {
 	job := e.jobs[id]
 	if job == nil {
@@ -114,58 +117,58 @@
 	delete(e.jobs, id)
 }
 
-// abandon drops the waiting tasks of a job. Tasks that agents hold still count.
+// abandon removes the waiting tasks of a job. Tasks that are assigned to agents still count.
 func (e *Engine[P, T]) abandon(job *job) {
-	job.forgotten = true
-	for kind := range lanes {
-		job.pool.limiter.AddWaiting(job.team, -job.waiting[kind], -job.work[kind])
-		job.pool.work[kind] -= job.work[kind]
-		job.work[kind] = 0
-		job.pool.queued[kind] -= job.waiting[kind]
-		job.waiting[kind] = 0
-		job.pool.compact(kind)
+	job.abandoned = true
+	for lane := range laneCount {
+		job.pool.limiter.AddWaiting(job.team, -job.waiting[lane], -job.work[lane])
+		job.pool.work[lane] -= job.work[lane]
+		job.work[lane] = 0
+		job.pool.queued[lane] -= job.waiting[lane]
+		job.waiting[lane] = 0
+		job.pool.compact(lane)
 	}
 }
 
 func (e *Engine[P, T]) queued() int {
 	total := 0
-	for _, pool := range e.order {
-		total += pool.queued[free] + pool.queued[limited]
+	for _, pool := range e.sortedPools {
+		total += pool.queued[shortLane] + pool.queued[longLane]
 	}
 	return total
 }
 
 func (e *Engine[P, T]) pool(service string) *pool {
-	known := e.pools[service]
-	if known == nil {
-		known = newPool()
-		known.limiter.SetTeams(e.teams)
-		e.pools[service] = known
+	p := e.pools[service]
+	if p == nil {
+		p = newPool()
+		p.limiter.SetTeams(e.teams)
+		e.pools[service] = p
 		names := make([]string, 0, len(e.pools))
 		for name := range e.pools {
 			names = append(names, name)
 		}
 		slices.Sort(names)
-		e.order = e.order[:0]
+		e.sortedPools = e.sortedPools[:0]
 		for _, name := range names {
-			e.order = append(e.order, e.pools[name])
+			e.sortedPools = append(e.sortedPools, e.pools[name])
 		}
 	}
-	return known
+	return p
 }
 
 func (e *Engine[P, T]) job(id specifier.JobID, pool *pool) *job {
-	known := e.jobs[id]
-	if known == nil {
-		known = &job{pool: pool}
-		e.jobs[id] = known
+	j := e.jobs[id]
+	if j == nil {
+		j = &job{pool: pool}
+		e.jobs[id] = j
 	}
-	return known
+	return j
 }
 
-// drop removes a job that has nothing left.
-func (e *Engine[P, T]) drop(id specifier.JobID, job *job) {
-	if len(job.sent) == 0 && job.delayed == 0 && !job.forgotten && job.waiting == [lanes]int{} {
+// removeIfEmpty removes a job that has no waiting, delayed or sent tasks.
+func (e *Engine[P, T]) removeIfEmpty(id specifier.JobID, job *job) {
+	if len(job.sent) == 0 && job.delayed == 0 && !job.abandoned && job.waiting == [laneCount]int{} {
 		delete(e.jobs, id)
 	}
 }
--- a/dispatch/scheduler/engine_test.go
+++ b/dispatch/scheduler/engine_test.go
@@ -54,21 +54,21 @@
 }
 
 func TestDispatch(t *testing.T) {
-	t.Run("the least key first", func(t *testing.T) {
+	t.Run("the task with the smallest key is sent first", func(t *testing.T) {
 		s := newScheduler(1)
 		s.Enqueue(start, items("wide", 20))
 		s.Enqueue(start, items("narrow", 1))
 		must.Eq(t, specifier.NewJobID("t", "narrow"), s.Dispatch(start)[0].Item.Key.Job)
 	})
-	t.Run("few tasks before the first answer", func(t *testing.T) {
-		// Guards against a black-hole worker that takes a whole wide job at once.
+	t.Run("an agent gets few tasks before its first response", func(t *testing.T) {
+		// Guards against a black hole: a worker that fails every task immediately and is sent a whole wide job at once.
 		s := newScheduler(1)
 		s.Enqueue(start, items("j", 8))
 		mustDispatch(t, s, start, paceTasks)
 		mustDispatch(t, s, start.Add(paceInterval/2), 0)
 		mustDispatch(t, s, start.Add(paceInterval), paceTasks)
 	})
-	t.Run("nothing to an agent that is draining, unlinked or without slots", func(t *testing.T) {
+	t.Run("an agent that is draining, disconnected or without slots gets no tasks", func(t *testing.T) {
 		s := newScheduler(3)
 		list := members(3)
 		list[1].State = specifier.Draining
@@ -78,8 +78,9 @@
 		s.Enqueue(start, items("j", 4))
 		mustDispatch(t, s, start, 0)
 	})
-	t.Run("an agent that is never heard of gets work again", func(t *testing.T) {
-		// Guards against an entry that believes an agent full for ever.
+	t.Run("an agent that sends no reports gets tasks again", func(t *testing.T) {
+		// Guards against an entry that assumes forever that an agent is full: an agent without tasks from the entry sends no
+		// reports.
 		s := newScheduler(1)
 		s.UpdateLoad(start, members(1)[1].Identity, specifier.Load{Slots: 8, Running: 8, Queued: 3})
 		s.Enqueue(start, items("j", 1))
@@ -93,7 +94,7 @@
 		must.Len(t, 4, s.SetMembers(start, members(0)))
 		must.SliceEmpty(t, s.SetMembers(start, members(0)))
 	})
-	t.Run("work that cannot end in time is not started", func(t *testing.T) {
+	t.Run("a task that cannot end before its deadline is not started", func(t *testing.T) {
 		s := newScheduler(1)
 		for range 20 {
 			s.classifier.Record("p", time.Second)
@@ -106,7 +107,7 @@
 		mustDispatch(t, s, start, 0)
 		must.Eq(t, 0, s.queued())
 	})
-	t.Run("a refused task comes back after a delay", func(t *testing.T) {
+	t.Run("a refused task is sent again after a delay", func(t *testing.T) {
 		s := newScheduler(1)
 		s.Enqueue(start, items("j", 1))
 		sent := mustDispatch(t, s, start, 1)[0]
@@ -117,7 +118,8 @@
 	})
 }
 
-// TestAdmitUnlearned guards against a profile that is declared ten times too long, is refused each time, and so never runs.
+// TestAdmitUnlearned guards against a profile whose declared run time is ten times too long: its jobs would be refused
+// each time, so that the actual run time is never learned.
 func TestAdmitUnlearned(t *testing.T) {
 	s := newScheduler(11)
 	profile := specifier.Profile{Name: "p", Service: "s", TypicalTime: 100 * time.Second}
@@ -128,7 +130,7 @@
 }
 
 func TestLongWork(t *testing.T) {
-	// Guards against long tasks in every slot of a worker or zone.
+	// Guards against long tasks in every slot of a worker or zone, which would make short work wait.
 	s := newScheduler(6)
 	s.Admit(start, specifier.Job{Deadline: start.Add(time.Hour)}, specifier.Profile{Name: "long", Service: "s", TypicalTime: time.Minute})
 	s.Enqueue(start, items("short", 1))
@@ -141,15 +143,15 @@
 		s.Dispatch(start.Add(time.Duration(i) * paceInterval))
 	}
 	for _, agent := range s.pools["s"].agents {
-		must.LessEq(t, 4, agent.long)
+		must.LessEq(t, 4, agent.longAssigned)
 	}
 	for _, zone := range s.pools["s"].zones {
-		must.LessEq(t, 8, zone.long)
+		must.LessEq(t, 8, zone.longAssigned)
 	}
 }
 
-// TestForget guards against tasks of cancelled jobs that are still sent, and against counts that drift.
-func TestForget(t *testing.T) {
+// TestForget guards against sending tasks of cancelled jobs, and against counts that are not reduced when a job is removed.
+func TestRemoveJob(t *testing.T) {
 	s := newScheduler(2)
 	for i := range 1000 {
 		s.Enqueue(start, items(fmt.Sprint(i), 3))
@@ -160,18 +162,18 @@
 	}
 	mustDispatch(t, s, start.Add(time.Second), 0)
 	pool := s.pools["s"]
-	must.Eq(t, 0, pool.held)
-	must.Eq(t, 0, pool.work[free])
-	must.LessEq(t, 64, pool.waiting[free].Len())
+	must.Eq(t, 0, pool.assigned)
+	must.Eq(t, 0, pool.work[shortLane])
+	must.LessEq(t, 64, pool.waiting[shortLane].Len())
 	must.MapEmpty(t, s.jobs)
 }
 
-// TestEngineProperties guards against a task that is sent twice without a refusal, and against agents that are sent
-// more than their slots and the look-ahead.
+// TestEngineProperties guards against a task that is sent twice without a refusal, and against an agent that is assigned
+// more tasks than its slots and the look-ahead, under random sequences of events.
 func TestEngineProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, now, jobs := newScheduler(3), start, 0
-		out := map[specifier.TaskKey]specifier.Identity{}
+		assigned := map[specifier.TaskKey]specifier.Identity{}
 		var order []specifier.TaskKey
 		t.Repeat(map[string]func(*rapid.T){
 			"enqueue": func(t *rapid.T) {
@@ -180,8 +182,8 @@
 			},
 			"dispatch": func(t *rapid.T) {
 				for _, sent := range s.Dispatch(now) {
-					must.MapNotContainsKey(t, out, sent.Item.Key)
-					out[sent.Item.Key] = sent.Agent
+					must.MapNotContainsKey(t, assigned, sent.Item.Key)
+					assigned[sent.Item.Key] = sent.Agent
 					order = append(order, sent.Item.Key)
 				}
 			},
@@ -191,9 +193,9 @@
 				}
 				key := order[0]
 				order = order[1:]
-				id := out[key]
+				id := assigned[key]
 				if rapid.Bool().Draw(t, "refused") {
-					delete(out, key)
+					delete(assigned, key)
 					s.TaskRefused(now, id, key)
 				} else {
 					s.TaskEnded(now, id, key, rapid.Bool().Draw(t, "ok"), time.Second)
@@ -203,9 +205,9 @@
 				now = now.Add(time.Duration(rapid.IntRange(1, 500).Draw(t, "ms")) * time.Millisecond)
 			},
 			"wake": func(t *rapid.T) {
-				// Guards against a timer that is due again at once, which makes the control loop spin.
+				// Guards against a control loop that spins because Next returns a time that is not after now.
 				for _, sent := range s.Dispatch(now) {
-					out[sent.Item.Key] = sent.Agent
+					assigned[sent.Item.Key] = sent.Agent
 					order = append(order, sent.Item.Key)
 				}
 				if next := s.Next(); !next.IsZero() {
@@ -215,59 +217,59 @@
 			},
 			"": func(t *rapid.T) {
 				for _, agent := range s.pools["s"].agents {
-					must.LessEq(t, agent.member.Slots+lookAhead, len(agent.held))
+					must.LessEq(t, agent.member.Slots+lookAhead, len(agent.assigned))
 				}
 			},
 		})
 	})
 }
 
-// TestPlacementAllocates guards against allocation on the hot path: a task that ends and the next that is sent.
+// TestPlacementAllocates guards against allocations on the hot path, where one task ends and the next is sent.
 func TestPlacementAllocates(t *testing.T) {
 	s := newScheduler(11)
-	cycle := steady(s, 11)
+	cycle := steadyCycle(s, 11)
 	var dispatching time.Duration
 	must.Less(t, 0.1, testing.AllocsPerRun(2000, func() { cycle(&dispatching) }))
 }
 
-// steady fills the agents and returns a function that ends one task, and queues and places another, at the rate of
-// tasks of 0.6 s on all slots.
-func steady(s *Scheduler, agents int) func(dispatching *time.Duration) {
+// steadyCycle fills the agents and returns a function that ends one task, then queues and sends another. The simulated
+// time advances as if all slots ran tasks of 0.6 s.
+func steadyCycle(s *Scheduler, agents int) func(dispatching *time.Duration) {
 	now, slots := start, agents*8
 	for i := range 40 {
 		s.Enqueue(now, items(fmt.Sprint(i), 250))
 	}
-	held := &container.Queue[Assignment]{}
+	running := &container.Queue[Assignment]{}
 	place := func() {
 		for _, sent := range s.Dispatch(now) {
-			held.Push(sent)
+			running.Push(sent)
 		}
 	}
-	for held.Len() < slots*3/4 {
+	for running.Len() < slots*3/4 {
 		place()
 		now = now.Add(paceInterval)
 	}
-	again := make([]Item, 1)
+	replacement := make([]Item, 1)
 	return func(dispatching *time.Duration) {
 		now = now.Add(600 * time.Millisecond / time.Duration(slots))
-		if ended, ok := held.Pop(); ok {
+		if ended, ok := running.Pop(); ok {
 			s.UpdateLoad(now, ended.Agent, specifier.Load{Slots: 8, Running: 6})
 			s.TaskEnded(now, ended.Agent, ended.Item.Key, true, 500*time.Millisecond)
-			again[0] = ended.Item
-			s.Enqueue(now, again)
+			replacement[0] = ended.Item
+			s.Enqueue(now, replacement)
 		}
-		began := time.Now()
+		dispatchStart := time.Now()
 		place()
-		*dispatching += time.Since(began)
+		*dispatching += time.Since(dispatchStart)
 	}
 }
 
-// BenchmarkPlacement reports, besides the whole cycle of steady, the time of Dispatch alone.
+// BenchmarkPlacement reports the time of a whole cycle, and that of Dispatch alone.
 func BenchmarkPlacement(b *testing.B) {
 	for _, agents := range []int{11, 110, 940} {
 		b.Run(fmt.Sprint(agents), func(b *testing.B) {
 			s := newScheduler(agents)
-			cycle := steady(s, agents)
+			cycle := steadyCycle(s, agents)
 			b.ReportAllocs()
 			var dispatching time.Duration
 			for b.Loop() {
--- a/dispatch/scheduler/enqueue.go
+++ b/dispatch/scheduler/enqueue.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// Enqueue adds items that may start.
+// Enqueue adds items that are ready to start.
 func (e *Engine[P, T]) Enqueue(now time.Time, items []Item) {
 	e.init()
 	var delay time.Duration
@@ -18,8 +18,8 @@
 		item.Order.At = item.Order.At.Add(delay)
 		item.Order = item.Order.LimitOvertaking(now, item.Deadline)
 		e.retrier.RecordFirstAttempt(item.Profile, e.profiles[item.Profile].RetryBudget)
-		if e.push(now, job, item, 0) == free {
-			e.lastShort = now
+		if e.push(now, job, item, 0) == shortLane {
+			e.lastShortAt = now
 		}
 	}
 }
@@ -27,17 +27,18 @@
 // push adds a task to the lane of its profile's class.
 func (e *Engine[P, T]) push(now time.Time, job *job, item Item, attempts int) lane {
 	typical := e.profiles[item.Profile].TypicalTime
-	kind := laneOf(e.classifier.Class(item.Profile, typical))
+	lane := laneOf(e.classifier.Class(item.Profile, typical))
 	next := e.allocate()
-	*next = task{item: item, job: job, lane: kind, attempts: attempts, expected: e.mean(item.Profile, item.Deadline.Sub(now))}
-	job.pool.count(next, 1)
-	job.pool.waiting[kind].Push(next)
-	return kind
+	*next = task{item: item, job: job, lane: lane, attempts: attempts, expected: e.expectedRunTime(item.Profile, item.Deadline.Sub(now))}
+	job.pool.addToTotals(next, 1)
+	job.pool.waiting[lane].Push(next)
+	return lane
 }
 
-// mean returns the expected run time of a task. A declared time that is ten times too long must not keep a profile from
-// ever running, and so from being learned: until then it counts as at most a part of the time left.
-func (e *Engine[P, T]) mean(profile string, left time.Duration) time.Duration {
+// expectedRunTime returns the expected run time of a task. Until the profile has enough samples, its declared run time
+// counts as at most a share of the time to the deadline. Otherwise a profile that declares ten times its actual run time
+// would never be admitted, and so would never get samples.
+func (e *Engine[P, T]) expectedRunTime(profile string, left time.Duration) time.Duration {
 	typical := e.profiles[profile].TypicalTime
 	if !e.classifier.Learned(profile) && left > 0 {
 		return min(typical, time.Duration(unlearnedShare*float64(left)))
--- a/dispatch/scheduler/health.go
+++ b/dispatch/scheduler/health.go
@@ -7,25 +7,25 @@
 	"oleandertally/dispatch/ejector"
 )
 
-// breaker decides when a worker is ejected. docs/policies.md has the comparison with the sliding window.
+// breaker decides when a worker is ejected. docs/policies.md compares it with the sliding window.
 type breaker = ejector.Consecutive
 
 // health is the health of one agent's worker.
 type health = ejector.Worker[breaker, *breaker]
 
-// Ejections returns the agents that were ejected since the last call, for the timeline.
+// Ejections returns the agents whose workers were ejected since the last call, for the timeline.
 func (e *Engine[P, T]) Ejections() []specifier.Identity {
 	ejected := e.ejected
 	e.ejected = nil
 	return ejected
 }
 
-// judge notes how a task ended on an agent.
-func (e *Engine[P, T]) judge(now time.Time, agent *agent, task *task, ok bool, runTime time.Duration) {
+// recordOutcome passes the result of a task on an agent to the ejector.
+func (e *Engine[P, T]) recordOutcome(now time.Time, agent *agent, task *task, ok bool, runTime time.Duration) {
 	profile := e.profiles[task.item.Profile]
-	outcome := ejector.Outcome{Job: task.item.Key.Job, OK: ok, Sent: task.sent, RunTime: runTime,
+	outcome := ejector.Outcome{Job: task.item.Key.Job, OK: ok, Sent: task.sentAt, RunTime: runTime,
 		Expected: e.classifier.Mean(task.item.Profile, profile.TypicalTime), Threshold: profile.BreakerAfter}
-	if task.slow {
+	if task.countedSlow {
 		outcome.Expected = 0
 	}
 	if e.ejector.Record(now, &agent.health, outcome, len(agent.pool.agents)) {
@@ -33,28 +33,28 @@
 	}
 }
 
-// healthLimit returns how many tasks the agent may hold as far as its health goes.
+// healthLimit returns how many tasks may be assigned to the agent, given the health of its worker.
 func (a *agent) healthLimit(now time.Time, slots int) int {
 	since := 0
 	if failed := a.health.FailedAt(); !failed.IsZero() {
-		for _, task := range a.held {
-			if !task.sent.Before(failed) {
+		for _, task := range a.assigned {
+			if !task.sentAt.Before(failed) {
 				since++
 			}
 		}
 		if since == 0 {
-			return len(a.held) + 1
+			return len(a.assigned) + 1
 		}
 	}
 	return a.health.Limit(now, slots, since)
 }
 
-// findSlow counts tasks that have run far beyond what their profile leads to expect, so that a straggler is found before
-// it answers. The order of the tasks does not matter: each counts the same.
-func (e *Engine[P, T]) findSlow(now time.Time, agent *agent) {
-	for _, task := range agent.held {
-		if !task.slow && now.Sub(task.sent) > queueTime+ejector.SlowRatio*task.expected && task.expected > 0 {
-			task.slow = true
+// countSlowTasks counts tasks that have run far longer than expected, so that a straggler is detected before its tasks
+// end. The map order is irrelevant, since each task counts the same.
+func (e *Engine[P, T]) countSlowTasks(now time.Time, agent *agent) {
+	for _, task := range agent.assigned {
+		if !task.countedSlow && now.Sub(task.sentAt) > maxQueueTime+ejector.SlowRatio*task.expected && task.expected > 0 {
+			task.countedSlow = true
 			agent.health.RecordSlow()
 		}
 	}
--- a/dispatch/scheduler/index.go
+++ b/dispatch/scheduler/index.go
@@ -2,58 +2,58 @@
 
 import "math/bits"
 
-// index groups agents by how many more tasks they may be sent, so that finding the ones with the most
-// room takes constant time at any number of agents.
+// index groups agents by their capacity, the number of tasks that they may still be sent. The agents with the highest
+// capacity are found in constant time for any number of agents.
 type index struct {
 	levels [maxLevel + 1][]*agent
-	mask   uint64 // bit i is set when levels[i] has an agent
+	mask   uint64 // bit i is set if levels[i] has an agent
 }
 
-// maxLevel is the most room that is told apart. Agents with more are equally good.
+// maxLevel is the highest level. Agents with a higher capacity are treated as equal.
 const maxLevel = 63
 
-// put moves an agent to a level.
-func (x *index) put(a *agent, kind lane, level int) {
+// set moves an agent to a level.
+func (x *index) set(a *agent, lane lane, level int) {
 	level = max(min(level, maxLevel), 0)
-	at := &a.at[kind]
-	if at.in && at.level == level {
+	pos := &a.positions[lane]
+	if pos.present && pos.level == level {
 		return
 	}
-	x.remove(a, kind)
+	x.remove(a, lane)
 	x.levels[level] = append(x.levels[level], a)
 	x.mask |= 1 << level
-	*at = place{in: true, level: level, i: len(x.levels[level]) - 1}
+	*pos = indexPosition{present: true, level: level, i: len(x.levels[level]) - 1}
 }
 
-// remove takes an agent out.
-func (x *index) remove(a *agent, kind lane) {
-	at := &a.at[kind]
-	if !at.in {
+// remove removes an agent.
+func (x *index) remove(a *agent, lane lane) {
+	pos := &a.positions[lane]
+	if !pos.present {
 		return
 	}
-	list := x.levels[at.level]
+	list := x.levels[pos.level]
 	last := len(list) - 1
-	list[at.i] = list[last]
-	list[at.i].at[kind].i = at.i
+	list[pos.i] = list[last]
+	list[pos.i].positions[lane].i = pos.i
 	list[last] = nil
-	x.levels[at.level] = list[:last]
+	x.levels[pos.level] = list[:last]
 	if last == 0 {
-		x.mask &^= 1 << at.level
+		x.mask &^= 1 << pos.level
 	}
-	at.in = false
+	pos.present = false
 }
 
-// top returns the highest level with an agent, 0 when no agent has room.
-func (x *index) top() int {
+// highest returns the highest level with an agent, or 0 if no agent has capacity.
+func (x *index) highest() int {
 	if x.mask == 0 {
 		return 0
 	}
 	return bits.Len64(x.mask) - 1
 }
 
-// place is the position of an agent in an index.
-type place struct {
-	in    bool
-	level int
-	i     int
+// indexPosition is the position of an agent in an index.
+type indexPosition struct {
+	present bool
+	level   int
+	i       int
 }
--- a/dispatch/scheduler/item.go
+++ b/dispatch/scheduler/item.go
@@ -7,7 +7,7 @@
 	"oleandertally/dispatch/orderer"
 )
 
-// Item is one task that waits for an agent.
+// Item is a task that is to be assigned to an agent.
 type Item struct {
 	Key      specifier.TaskKey
 	Order    orderer.Key
--- a/dispatch/scheduler/job.go
+++ b/dispatch/scheduler/job.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// job is what the scheduler knows of one job with tasks that wait or are held by agents.
+// job is a job with tasks that wait or are assigned to agents.
 type job struct {
 	team      string
-	forgotten bool // its waiting tasks are not started any more
-	waiting   [lanes]int
+	abandoned bool // its waiting tasks are no longer started
+	waiting   [laneCount]int
 	pool      *pool
-	work      [lanes]time.Duration // expected run time of the waiting tasks
-	sent      []*task              // the tasks that agents hold
-	delayed   int                  // tasks that are queued again later
+	work      [laneCount]time.Duration // expected run time of the waiting tasks
+	sent      []*task                  // tasks that are assigned to agents
+	delayed   int                      // number of tasks that are queued again later
 }
 
-// note adds a task that was sent.
-func (j *job) note(task *task) {
-	task.at = len(j.sent)
+// addSent adds a task that was sent.
+func (j *job) addSent(task *task) {
+	task.sentIndex = len(j.sent)
 	j.sent = append(j.sent, task)
 }
 
-// ended removes a task; the last one takes its place.
-func (j *job) ended(task *task) {
+// removeSent removes a task from the list of sent tasks; the last task moves to its index.
+func (j *job) removeSent(task *task) {
 	last := len(j.sent) - 1
-	j.sent[task.at] = j.sent[last]
-	j.sent[task.at].at = task.at
+	j.sent[task.sentIndex] = j.sent[last]
+	j.sent[task.sentIndex].sentIndex = task.sentIndex
 	j.sent[last] = nil
 	j.sent = j.sent[:last]
 }
--- a/dispatch/scheduler/lane.go
+++ b/dispatch/scheduler/lane.go
@@ -2,18 +2,18 @@
 
 import "oleandertally/dispatch/classifier"
 
-// lane separates work that may take any slot from work that may take only a share of them.
+// lane separates work that may use any slot from work that may use only a share of the slots.
 type lane uint8
 
 const (
-	free    lane = iota // short work
-	limited             // work above the Short class
-	lanes
+	shortLane lane = iota // short work
+	longLane              // work above the Short class
+	laneCount
 )
 
 func laneOf(class classifier.Class) lane {
 	if class == classifier.Short {
-		return free
+		return shortLane
 	}
-	return limited
+	return longLane
 }
--- a/dispatch/scheduler/leastloaded.go
+++ b/dispatch/scheduler/leastloaded.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// LeastLoaded is a baseline: the agent with the fewest tasks by its last report. Tasks wait at the agents,
-// and entries with the same reports choose the same agent.
+// LeastLoaded is a baseline policy that chooses the agent with the fewest tasks in its last report. Tasks wait at the
+// agents, and entries with the same reports choose the same agent.
 type LeastLoaded struct{}
 
-func (*LeastLoaded) room(_ time.Time, agent *agent, _ rule) [lanes]int {
+func (*LeastLoaded) capacity(_ time.Time, agent *agent, _ constraints) [laneCount]int {
 	if agent.slots() == 0 {
-		return [lanes]int{}
+		return [laneCount]int{}
 	}
-	room := max(maxLevel-agent.tasks(), 1)
-	return [lanes]int{room, room}
+	free := max(maxLevel-agent.totalTasks(), 1)
+	return [laneCount]int{free, free}
 }
 
-func (*LeastLoaded) pick(pool *pool, kind lane, _ rule, random *rand.Rand) *agent {
+func (*LeastLoaded) pick(pool *pool, lane lane, _ constraints, random *rand.Rand) *agent {
 	var best *agent
 	for _, zone := range pool.zones {
-		index := &zone.index[kind]
-		top := index.top()
-		if top > 0 && (best == nil || top > best.at[kind].level) {
+		index := &zone.index[lane]
+		top := index.highest()
+		if top > 0 && (best == nil || top > best.positions[lane].level) {
 			best = index.levels[top][0]
 		}
 	}
--- a/dispatch/scheduler/membership.go
+++ b/dispatch/scheduler/membership.go
@@ -8,8 +8,8 @@
 	"oleandertally/core/specifier"
 )
 
-// SetMembers replaces the known agents. It returns the tasks held by agents that are gone:
-// whether they started is unknown.
+// SetMembers replaces the known agents. It returns the tasks that were assigned to departed agents; whether these tasks
+// started is unknown.
 func (e *Engine[P, T]) SetMembers(now time.Time, members []specifier.Member) []Assignment {
 	e.init()
 	e.entries = 0
@@ -25,7 +25,7 @@
 		}
 	}
 	var lost []Assignment
-	for _, pool := range e.order {
+	for _, pool := range e.sortedPools {
 		for _, agent := range slices.Clone(pool.agents) {
 			if !known[agent.member.Identity] {
 				lost = append(lost, e.removeAgent(agent)...)
@@ -35,45 +35,45 @@
 	return lost
 }
 
-// setAgent adds an agent, or replaces what is recorded about it. A change of service or zone comes with a
-// new incarnation, and so as another agent.
+// setAgent adds an agent or replaces its membership record. A change of service or zone implies a new incarnation, which
+// is a different agent here.
 func (e *Engine[P, T]) setAgent(now time.Time, member specifier.Member) {
-	old := e.agents[member.Identity]
-	if old == nil {
+	existing := e.agents[member.Identity]
+	if existing == nil {
 		pool := e.pool(member.Service)
-		old = &agent{pool: pool, zone: pool.zone(member.Zone), held: make(map[specifier.TaskKey]*task),
+		existing = &agent{pool: pool, zone: pool.zone(member.Zone), assigned: make(map[specifier.TaskKey]*task),
 			load: specifier.Load{Slots: member.Slots}, reportedAt: now}
-		old.member = member
-		e.agents[member.Identity] = old
-		pool.agents = append(pool.agents, old)
+		existing.member = member
+		e.agents[member.Identity] = existing
+		pool.agents = append(pool.agents, existing)
 		slices.SortFunc(pool.agents, compareAgents)
-		old.zone.slots += member.Slots
+		existing.zone.slots += member.Slots
 	}
-	old.zone.slots += member.Slots - old.member.Slots
-	old.member = member
-	e.update(now, old)
+	existing.zone.slots += member.Slots - existing.member.Slots
+	existing.member = member
+	e.updateIndex(now, existing)
 }
 
-func (e *Engine[P, T]) removeAgent(gone *agent) []Assignment {
-	for kind := range lanes {
-		gone.zone.index[kind].remove(gone, kind)
+func (e *Engine[P, T]) removeAgent(removed *agent) []Assignment {
+	for lane := range laneCount {
+		removed.zone.index[lane].remove(removed, lane)
 	}
-	gone.zone.slots -= gone.member.Slots
-	gone.pool.agents = slices.DeleteFunc(gone.pool.agents, func(a *agent) bool { return a == gone })
-	e.ejector.Remove(&gone.health)
-	delete(e.agents, gone.member.Identity)
-	lost := heldBy(gone)
+	removed.zone.slots -= removed.member.Slots
+	removed.pool.agents = slices.DeleteFunc(removed.pool.agents, func(a *agent) bool { return a == removed })
+	e.ejector.Remove(&removed.health)
+	delete(e.agents, removed.member.Identity)
+	lost := assignmentsOf(removed)
 	for _, each := range lost {
-		if task, ok := e.release(gone, each.Item.Key); ok {
+		if task, ok := e.release(removed, each.Item.Key); ok {
 			e.recycle(task)
 		}
 	}
 	return lost
 }
 
-func heldBy(agent *agent) []Assignment {
+func assignmentsOf(agent *agent) []Assignment {
 	var all []Assignment
-	for _, task := range agent.held {
+	for _, task := range agent.assigned {
 		all = append(all, Assignment{Agent: agent.member.Identity, Item: task.item})
 	}
 	slices.SortFunc(all, func(a, b Assignment) int {
--- a/dispatch/scheduler/placement.go
+++ b/dispatch/scheduler/placement.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Placement decides which agent gets the next task. Room and Pick are called by the engine alone.
+// Placement decides which agent gets the next task. Only the engine calls the methods.
 type Placement[P any] interface {
 	*P
-	// room returns how many more tasks an agent may be sent, by lane; 0: none.
-	room(now time.Time, agent *agent, rule rule) [lanes]int
-	// pick returns an agent with room for a task of a lane, or nil.
-	pick(pool *pool, kind lane, rule rule, random *rand.Rand) *agent
+	// capacity returns how many more tasks an agent may be sent, by lane.
+	capacity(now time.Time, agent *agent, c constraints) [laneCount]int
+	// pick returns an agent with capacity for a task of a lane, or nil.
+	pick(pool *pool, lane lane, c constraints, random *rand.Rand) *agent
 }
 
-// rule is what placements respect besides the agent itself.
-type rule struct {
-	local     string  // the zone of this entry
-	entries   int     // entries that share the agents
-	longShare float64 // share of slots that long work may hold
-	patient   bool    // the task's key is not nearly due
-	lend      bool    // no short work waits or arrived lately, so that long work may take more
+// constraints are the inputs of a placement other than the agent.
+type constraints struct {
+	zone      string  // the zone of this entry
+	entries   int     // number of entries that share the agents
+	longShare float64 // share of slots that long work may use
+	canWait   bool    // the task is not nearly due
+	mayBorrow bool    // long work may use more than its share, since no short work arrived recently
 }
--- a/dispatch/scheduler/pool.go
+++ b/dispatch/scheduler/pool.go
@@ -9,17 +9,17 @@
 	"oleandertally/dispatch/limiter"
 )
 
-// pool is the agents of one service and the tasks that wait for them.
+// pool contains the agents of one service and the tasks that wait for them.
 type pool struct {
-	zones   []*zone  // by name
-	agents  []*agent // by identity
-	waiting [lanes]container.Heap[*task]
-	queued  [lanes]int           // without those of forgotten jobs
-	work    [lanes]time.Duration // expected run time of the queued tasks
-	held    int                  // tasks that agents hold for this entry
-	long    int                  // of them, those in the limited lane
-	short   headroom
-	limiter limiter.Limiter
+	zones        []*zone  // by name
+	agents       []*agent // by identity
+	waiting      [laneCount]container.Heap[*task]
+	queued       [laneCount]int           // number of waiting tasks, without those of abandoned jobs
+	work         [laneCount]time.Duration // expected run time of the waiting tasks
+	assigned     int                      // tasks of this entry that are assigned to agents
+	longAssigned int                      // assigned tasks in the long lane
+	shortNeed    headroom
+	limiter      limiter.Limiter
 }
 
 func newPool() *pool {
@@ -30,8 +30,8 @@
 	return p
 }
 
-// count adds or removes a waiting task in the totals.
-func (p *pool) count(task *task, change int) {
+// addToTotals adds a waiting task to the totals, or removes it, by a change of 1 or -1.
+func (p *pool) addToTotals(task *task, change int) {
 	p.queued[task.lane] += change
 	p.work[task.lane] += time.Duration(change) * task.expected
 	task.job.waiting[task.lane] += change
@@ -39,7 +39,7 @@
 	task.job.work[task.lane] += time.Duration(change) * task.expected
 }
 
-// zone returns the zone of a name, which it adds when it is new.
+// zone returns the zone with a name, and adds the zone if it is new.
 func (p *pool) zone(name string) *zone {
 	for _, each := range p.zones {
 		if each.name == name {
@@ -52,23 +52,23 @@
 	return added
 }
 
-// peek returns the first task of a lane whose job is not forgotten.
-func (p *pool) peek(kind lane) (*task, bool) {
-	heap := &p.waiting[kind]
+// peek returns the first task of a lane whose job is not abandoned.
+func (p *pool) peek(lane lane) (*task, bool) {
+	heap := &p.waiting[lane]
 	for {
 		first, ok := heap.Peek()
-		if !ok || !first.job.forgotten {
+		if !ok || !first.job.abandoned {
 			return first, ok
 		}
 		heap.Pop()
 	}
 }
 
-// compact drops the tasks of forgotten jobs once they are most of a heap, so that a wave of
-// cancellations costs constant amortized time for each task.
-func (p *pool) compact(kind lane) {
-	heap := &p.waiting[kind]
-	if heap.Len() > 64 && heap.Len() > 2*p.queued[kind] {
-		heap.Filter(func(t *task) bool { return !t.job.forgotten })
+// compact removes the tasks of abandoned jobs once they are the majority of a heap, so that a wave of cancellations costs
+// constant amortized time for each task.
+func (p *pool) compact(lane lane) {
+	heap := &p.waiting[lane]
+	if heap.Len() > 64 && heap.Len() > 2*p.queued[lane] {
+		heap.Filter(func(t *task) bool { return !t.job.abandoned })
 	}
 }
--- a/dispatch/scheduler/refresh.go
+++ b/dispatch/scheduler/refresh.go
@@ -7,7 +7,7 @@
 	"oleandertally/dispatch/orderer"
 )
 
-// Next returns when Dispatch should run again though no event came, or the zero time.
+// Next returns the time at which Dispatch should run again without a new event, or the zero time.
 func (e *Engine[P, T]) Next() time.Time {
 	var next time.Time
 	if first, ok := e.delayed.Peek(); ok {
@@ -16,11 +16,11 @@
 	if e.queued() == 0 {
 		return next
 	}
-	refresh := e.refreshed.Add(refreshEvery)
-	// Only an agent that still waits for its pace counts, and only after the last dispatch: a time that Dispatch has
-	// handled must not come again, or the caller's loop would spin.
-	if len(e.paced) > 0 {
-		if paced := e.paced[0].paceAt.Add(paceInterval); paced.Before(refresh) && paced.After(e.dispatched) {
+	refresh := e.refreshedAt.Add(refreshInterval)
+	// The end of a pace interval counts only if it is after the last dispatch. A time that Dispatch has already handled
+	// must not be returned again, or the calling loop would spin.
+	if len(e.pacedAgents) > 0 {
+		if paced := e.pacedAgents[0].paceStart.Add(paceInterval); paced.Before(refresh) && paced.After(e.dispatchedAt) {
 			refresh = paced
 		}
 	}
@@ -30,40 +30,40 @@
 	return next
 }
 
-// refresh computes the room of all agents again every refreshEvery, since the views age, and that of agents that were
-// sent several tasks at once as soon as they may get more.
-func (e *Engine[P, T]) refresh(now time.Time) {
-	if now.Sub(e.refreshed) >= refreshEvery {
-		e.refreshed = now
-		e.paced = e.paced[:0]
-		slow := now.Sub(e.slowAt) >= slowEvery
+// refreshIndexes updates the capacity of all agents once per refreshInterval, because it depends on the age of reports.
+// Between these updates, it updates the agents whose pace interval has ended, so that they can be sent more tasks.
+func (e *Engine[P, T]) refreshIndexes(now time.Time) {
+	if now.Sub(e.refreshedAt) >= refreshInterval {
+		e.refreshedAt = now
+		e.pacedAgents = e.pacedAgents[:0]
+		slow := now.Sub(e.slowCheckedAt) >= slowCheckInterval
 		if slow {
-			e.slowAt = now
+			e.slowCheckedAt = now
 		}
-		for _, pool := range e.order {
+		for _, pool := range e.sortedPools {
 			for _, agent := range pool.agents {
 				if slow {
-					e.findSlow(now, agent)
+					e.countSlowTasks(now, agent)
 				}
-				e.update(now, agent)
+				e.updateIndex(now, agent)
 			}
 		}
 		return
 	}
-	for len(e.paced) > 0 && now.Sub(e.paced[0].paceAt) >= paceInterval {
-		e.update(now, e.paced[0])
-		e.paced = slices.Delete(e.paced, 0, 1)
+	for len(e.pacedAgents) > 0 && now.Sub(e.pacedAgents[0].paceStart) >= paceInterval {
+		e.updateIndex(now, e.pacedAgents[0])
+		e.pacedAgents = slices.Delete(e.pacedAgents, 0, 1)
 	}
 }
 
-// update moves an agent to the level of its room.
-func (e *Engine[P, T]) update(now time.Time, agent *agent) {
-	room := T(&e.placement).room(now, agent, e.rule(now))
-	for kind := range lanes {
-		agent.zone.index[kind].put(agent, kind, room[kind])
+// updateIndex moves an agent to the level of its capacity, in each lane.
+func (e *Engine[P, T]) updateIndex(now time.Time, agent *agent) {
+	capacity := T(&e.placement).capacity(now, agent, e.constraints(now))
+	for lane := range laneCount {
+		agent.zone.index[lane].set(agent, lane, capacity[lane])
 	}
 }
 
-func (e *Engine[P, T]) rule(now time.Time) rule {
-	return rule{local: e.Zone, entries: max(e.entries, 1), longShare: orderer.DefaultLongShare, lend: now.Sub(e.lastShort) >= lendAfter}
+func (e *Engine[P, T]) constraints(now time.Time) constraints {
+	return constraints{zone: e.Zone, entries: max(e.entries, 1), longShare: orderer.DefaultLongShare, mayBorrow: now.Sub(e.lastShortAt) >= borrowDelay}
 }
--- a/dispatch/scheduler/refusal.go
+++ b/dispatch/scheduler/refusal.go
@@ -6,9 +6,9 @@
 	"oleandertally/core/specifier"
 )
 
-// Refusal says why a job is not admitted.
+// Refusal is the reason why a job is not admitted.
 type Refusal struct {
 	Reason     specifier.Reason
 	Detail     string
-	RetryAfter time.Duration // zero when a retry does not help
+	RetryAfter time.Duration // zero if a retry cannot succeed
 }
--- a/dispatch/scheduler/retrylost.go
+++ b/dispatch/scheduler/retrylost.go
@@ -6,8 +6,8 @@
 	"oleandertally/dispatch/retrier"
 )
 
-// RetryLost queues tasks whose worker is lost and that may run again, as far as the retry budget of their
-// profile allows. It reports false when one of them is not queued: its job can't be completed.
+// RetryLost queues repeatable tasks whose worker is lost, as far as the retry budget of their profile allows. It returns
+// false if a task cannot be queued, since its job can then not be completed.
 func (e *Engine[P, T]) RetryLost(now time.Time, items []Item) bool {
 	e.init()
 	for _, item := range items {
--- a/dispatch/scheduler/return.go
+++ b/dispatch/scheduler/return.go
@@ -7,7 +7,7 @@
 	"oleandertally/dispatch/retrier"
 )
 
-// TaskEnded notes that the agent ended a task, successfully or not.
+// TaskEnded records that a task ended on the agent, successfully or not.
 func (e *Engine[P, T]) TaskEnded(now time.Time, id specifier.Identity, key specifier.TaskKey, ok bool, runTime time.Duration) {
 	agent := e.agents[id]
 	if agent == nil {
@@ -17,30 +17,30 @@
 	if !found {
 		return
 	}
-	e.judge(now, agent, task, ok, runTime)
+	e.recordOutcome(now, agent, task, ok, runTime)
 	if ok {
 		e.classifier.Record(task.item.Profile, runTime)
 	}
 	e.recycle(task)
-	agent.pool.short.observe(now, agent.pool.held-agent.pool.long)
-	e.update(now, agent)
+	agent.pool.shortNeed.observe(now, agent.pool.assigned-agent.pool.longAssigned)
+	e.updateIndex(now, agent)
 }
 
-// TaskRefused notes that the agent did not start a task; it is queued again after a delay.
+// TaskRefused records that the agent did not start a task, and queues the task again after a delay.
 func (e *Engine[P, T]) TaskRefused(now time.Time, id specifier.Identity, key specifier.TaskKey) {
 	agent := e.agents[id]
 	if agent == nil {
 		return
 	}
-	agent.refusedUntil = now.Add(refusalPause)
+	agent.refusedUntil = now.Add(refusalDelay)
 	if task, ok := e.release(agent, key); ok {
 		e.requeue(now, task)
 	}
-	e.update(now, agent)
+	e.updateIndex(now, agent)
 }
 
-// requeue queues a task that is proved not started. One that could only come back past its deadline is dropped: the
-// coordinator ends its job at the deadline.
+// requeue queues a task that was provably not started, after a delay. A task whose retry would come after its deadline
+// is dropped, and the coordinator ends the job at the deadline.
 func (e *Engine[P, T]) requeue(now time.Time, task *task) {
 	attempt := retrier.Attempt{Profile: task.item.Profile, Cause: retrier.NotStarted, Count: task.attempts, Deadline: task.item.Deadline}
 	at, ok := e.retrier.Plan(now, attempt)
@@ -55,8 +55,8 @@
 	e.delayed.Push(delayed{at: at, task: task})
 }
 
-// wake queues the delayed tasks whose time has come.
-func (e *Engine[P, T]) wake(now time.Time) {
+// pushDelayed queues the delayed tasks that are due.
+func (e *Engine[P, T]) pushDelayed(now time.Time) {
 	for {
 		next, ok := e.delayed.Peek()
 		if !ok || next.at.After(now) {
@@ -64,44 +64,44 @@
 		}
 		e.delayed.Pop()
 		next.task.job.delayed--
-		if !next.task.job.forgotten {
+		if !next.task.job.abandoned {
 			e.push(now, next.task.job, next.task.item, next.task.attempts)
 		}
 		e.recycle(next.task)
 	}
 }
 
-// release takes a task off an agent.
+// release removes a task from its agent and updates the counts.
 func (e *Engine[P, T]) release(agent *agent, key specifier.TaskKey) (*task, bool) {
-	task, ok := agent.held[key]
+	task, ok := agent.assigned[key]
 	if !ok {
 		return nil, false
 	}
-	delete(agent.held, key)
-	agent.pool.held--
+	delete(agent.assigned, key)
+	agent.pool.assigned--
 	agent.pool.limiter.AddAssigned(task.item.Team, -1)
-	if task.lane == limited {
-		agent.long--
-		agent.pool.long--
-		agent.zone.long--
+	if task.lane == longLane {
+		agent.longAssigned--
+		agent.pool.longAssigned--
+		agent.zone.longAssigned--
 	}
-	task.job.ended(task)
-	e.drop(key.Job, task.job)
+	task.job.removeSent(task)
+	e.removeIfEmpty(key.Job, task.job)
 	return task, true
 }
 
-// allocate returns a record for a task, one of those that were recycled if there is any.
+// allocate returns an empty task, recycled if possible.
 func (e *Engine[P, T]) allocate() *task {
-	last := len(e.spare) - 1
+	last := len(e.spareTasks) - 1
 	if last < 0 {
 		return &task{}
 	}
-	spare := e.spare[last]
-	e.spare = e.spare[:last]
+	spare := e.spareTasks[last]
+	e.spareTasks = e.spareTasks[:last]
 	return spare
 }
 
 func (e *Engine[P, T]) recycle(done *task) {
 	*done = task{}
-	e.spare = append(e.spare, done)
+	e.spareTasks = append(e.spareTasks, done)
 }
--- a/dispatch/scheduler/scheduler.go
+++ b/dispatch/scheduler/scheduler.go
@@ -1,4 +1,4 @@
 package scheduler
 
-// Scheduler is the engine with the placement that entries use.
+// Scheduler is the engine with the placement used by entries.
 type Scheduler = Engine[LateBinding, *LateBinding]
--- a/dispatch/scheduler/twochoices.go
+++ b/dispatch/scheduler/twochoices.go
@@ -5,18 +5,20 @@
 	"time"
 )
 
-// TwoChoices is a baseline: the less loaded of two random agents. Tasks wait at the agents.
+// TwoChoices is a baseline policy that chooses the less loaded of two random agents. Tasks wait at the agents.
 type TwoChoices struct{}
 
-func (*TwoChoices) room(_ time.Time, agent *agent, _ rule) [lanes]int { return unbounded(agent) }
+func (*TwoChoices) capacity(_ time.Time, agent *agent, _ constraints) [laneCount]int {
+	return oneTaskEach(agent)
+}
 
-func (*TwoChoices) pick(pool *pool, kind lane, _ rule, random *rand.Rand) *agent {
-	a, b := anyAgent(pool, kind, random), anyAgent(pool, kind, random)
-	if a == nil || a.tasks() <= b.tasks() {
+func (*TwoChoices) pick(pool *pool, lane lane, _ constraints, random *rand.Rand) *agent {
+	a, b := anyAgent(pool, lane, random), anyAgent(pool, lane, random)
+	if a == nil || a.totalTasks() <= b.totalTasks() {
 		return a
 	}
 	return b
 }
 
-// tasks returns the tasks that the agent is believed to hold for all entries.
-func (a *agent) tasks() int { return len(a.held) + a.others }
+// totalTasks returns the estimated number of tasks of all entries at the agent.
+func (a *agent) totalTasks() int { return len(a.assigned) + a.otherTasks }
--- a/dispatch/scheduler/zone.go
+++ b/dispatch/scheduler/zone.go
@@ -1,9 +1,9 @@
 package scheduler
 
-// zone is the agents of one service in one availability zone.
+// zone contains the agents of one service in one availability zone.
 type zone struct {
-	name  string
-	index [lanes]index
-	slots int
-	long  int // tasks in the limited lane that this entry holds there
+	name         string
+	index        [laneCount]index
+	slots        int
+	longAssigned int // tasks of this entry in the long lane that are assigned to agents of the zone
 }
