--- a/dispatch/ejector/ejector.go
+++ b/dispatch/ejector/ejector.go
@@ -108,8 +108,8 @@
 }
 
 // isPoison reports whether the job, and not the worker, is the likely cause of the failure: the job has also failed on
-// another worker that is otherwise healthy. The failures of that other worker are then discarded. A
-// job without an earlier failure is recorded.
+// another worker that is otherwise healthy. The failures of that other worker are then discarded. A job without an
+// earlier failure is recorded.
 func (e *Ejector[B, T]) isPoison(worker *Worker[B, T], outcome Outcome) bool {
 	other := e.failedOn[outcome.Job]
 	if other == nil {
--- a/dispatch/orderer/limitovertaking.go
+++ b/dispatch/orderer/limitovertaking.go
@@ -6,8 +6,8 @@
 // the waiting work to the same part of that time, so that the rest remains for the job itself.
 const overtakingShare = 0.4
 
-// LimitOvertaking returns the key of a task with the given deadline, moved forward if necessary so that other tasks do not
-// overtake the task until its deadline cannot be met.
+// LimitOvertaking returns the key of a task with the given deadline, moved forward if necessary so that other tasks do
+// not overtake the task until its deadline cannot be met.
 func (k Key) LimitOvertaking(now, deadline time.Time) Key {
 	if deadline.IsZero() {
 		return k
--- a/dispatch/scheduler/engine_test.go
+++ b/dispatch/scheduler/engine_test.go
@@ -150,7 +150,7 @@
 	}
 }
 
-// TestForget guards against sending tasks of cancelled jobs, and against counts that are not reduced when a job is removed.
+// TestRemoveJob guards against sending tasks of cancelled jobs, and against counts that are not reduced when a job is removed.
 func TestRemoveJob(t *testing.T) {
 	s := newScheduler(2)
 	for i := range 1000 {
--- a/dispatch/scheduler/placement.go
+++ b/dispatch/scheduler/placement.go
@@ -8,7 +8,7 @@
 // Placement decides which agent gets the next task. Only the engine calls the methods.
 type Placement[P any] interface {
 	*P
-	// capacity returns how many more tasks an agent may be sent, by lane.
+	// capacity returns how many more tasks an agent may be sent, by lane; 0 if none.
 	capacity(now time.Time, agent *agent, c constraints) [laneCount]int
 	// pick returns an agent with capacity for a task of a lane, or nil.
 	pick(pool *pool, lane lane, c constraints, random *rand.Rand) *agent
