--- a/agent/executor/running.go
+++ b/agent/executor/running.go
@@ -35,7 +35,7 @@
 	}
 	task.attempt = nil
 	x.recordEvent(recorder.TaskEnded, e.Key.Job, task, job.owner.Name, e.Detail)
-	x.reports.Ended()
+	x.reports.TaskEnded()
 	x.start(now) // before reportDone, so that the load in the result includes the task that fills the free slot
 	x.reportDone(e.Key.Job, job, task)
 }
--- a/controller/sequencer/quota.go
+++ b/controller/sequencer/quota.go
@@ -33,7 +33,7 @@
 // lessor returns the lessor of a service's slots, updated to the present slots and teams.
 func (s *Sequencer) lessor(service string) *limiter.Lessor[string] {
 	if s.lessors[service] == nil {
-		s.lessors[service] = &limiter.Lessor[string]{Term: s.Lease}
+		s.lessors[service] = &limiter.Lessor[string]{LeaseDuration: s.Lease}
 	}
 	lessor := s.lessors[service]
 	lessor.Slots = 0
--- a/dispatch/ejector/consecutive.go
+++ b/dispatch/ejector/consecutive.go
@@ -1,6 +1,6 @@
 package ejector
 
-// Consecutive trips when the weights of failures without a success between them reach the threshold.
+// Consecutive trips when the total weight of consecutive failures reaches the threshold.
 type Consecutive struct {
 	weight int
 }
@@ -15,8 +15,8 @@
 	return c.weight >= threshold
 }
 
-// Suspect implements Breaker.
-func (c *Consecutive) Suspect() bool { return c.weight > 0 }
+// LastFailed implements Breaker.
+func (c *Consecutive) LastFailed() bool { return c.weight > 0 }
 
 // Reset implements Breaker.
 func (c *Consecutive) Reset() { c.weight = 0 }
--- a/dispatch/limiter/fill_test.go
+++ b/dispatch/limiter/limiter_test.go
@@ -12,8 +12,8 @@
 
 var start = time.Unix(0, 0)
 
-// TestFill guards against idle slots while a team needs some, and against more than there are.
-func TestFill(t *testing.T) {
+// TestAllocate guards against slots that stay idle while a team needs them, and against allocating more slots than exist.
+func TestAllocate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.Float64Range(0, 100).Draw(t, "slots")
 		claims := make([]Claim, rapid.IntRange(1, 8).Draw(t, "teams"))
@@ -22,20 +22,21 @@
 			claims[i] = Claim{Share: rapid.Float64Range(0.1, 10).Draw(t, "share"), Need: rapid.Float64Range(0, 60).Draw(t, "need")}
 			need += claims[i].Need
 		}
-		Fill(slots, claims)
+		Allocate(slots, claims)
 		given := 0.0
 		for _, each := range claims {
-			must.LessEq(t, each.Need+1e-9, each.Given)
-			given += each.Given
+			must.LessEq(t, each.Need+1e-9, each.Allocated)
+			given += each.Allocated
 		}
 		must.InDelta(t, min(slots, need), given, 1e-6)
 	})
 }
 
-// TestLeases guards against several entries that together count on more slots than there are.
+// TestLeases guards against over-commitment: several entries, which renew at different times, together have valid leases
+// for more slots than exist.
 func TestLeases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := &Lessor[int]{Slots: 88, Term: 3 * time.Second}
+		l := &Lessor[int]{Slots: 88, LeaseDuration: 3 * time.Second}
 		l.SetTeams(map[string]specifier.Team{"a": {Share: 1}, "b": {Share: 3}})
 		valid, now := map[int]Lease{}, start
 		for range 30 {
@@ -57,13 +58,13 @@
 func TestLimiter(t *testing.T) {
 	l := &Limiter{}
 	l.SetTeams(map[string]specifier.Team{"a": {Share: 1}, "b": {Share: 3}})
-	l.Waits("a", 100, time.Minute)
-	t.Run("an unused share is lent", func(t *testing.T) {
+	l.AddWaiting("a", 100, time.Minute)
+	t.Run("an unused share is lent to another team", func(t *testing.T) {
 		must.Eq(t, 40, l.Allocation(start, "a", 40))
 		must.Eq(t, 0, l.Delay(start, "a", 40))
 	})
-	t.Run("and taken back", func(t *testing.T) {
-		l.Waits("b", 100, time.Minute)
+	t.Run("a lent share is reclaimed when its team has work", func(t *testing.T) {
+		l.AddWaiting("b", 100, time.Minute)
 		must.Eq(t, 10, l.Allocation(start, "a", 40))
 		must.Eq(t, 6*time.Second, l.Delay(start, "a", 40))
 	})
--- a/dispatch/orderer/byarrival.go
+++ b/dispatch/orderer/byarrival.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// ByArrival is the baseline: jobs in order of arrival.
+// ByArrival is the baseline policy: jobs start in order of arrival.
 type ByArrival struct{}
 
-// At returns arrival.
-func (ByArrival) At(arrival time.Time, tasks, priority int) time.Time { return arrival }
+// OrderTime returns arrival.
+func (ByArrival) OrderTime(arrival time.Time, tasks, priority int) time.Time { return arrival }
--- a/entry/coordinator/collection.go
+++ b/entry/coordinator/collection.go
@@ -71,7 +71,7 @@
 		}
 		switch report.State {
 		case specifier.TaskEnded:
-			c.Scheduler.Done(now, e.Agent, specifier.TaskKey{Job: e.Job, Task: report.Task}, true, 0)
+			c.Scheduler.TaskEnded(now, e.Agent, specifier.TaskKey{Job: e.Job, Task: report.Task}, true, 0)
 			job.setResult(i, report.Body)
 		case specifier.TaskBroken:
 			job.slots[i].agent = e.Agent
@@ -86,7 +86,7 @@
 		// was sent after the fence may be in transit: treating it as lost would start it twice.
 		if job.slots[i].agent == e.Agent && job.slots[i].mark < e.Mark && !listed[job.slots[i].result.Task] {
 			job.slots[i].agent = specifier.Identity{}
-			c.Scheduler.Refused(now, e.Agent, specifier.TaskKey{Job: e.Job, Task: job.slots[i].result.Task})
+			c.Scheduler.TaskRefused(now, e.Agent, specifier.TaskKey{Job: e.Job, Task: job.slots[i].result.Task})
 		}
 	}
 	return true
--- a/entry/coordinator/coordinator.go
+++ b/entry/coordinator/coordinator.go
@@ -83,13 +83,13 @@
 	case ReportReceived:
 		c.reportReceived(now, event)
 	case LoadReceived:
-		c.Scheduler.Reported(now, event.Agent, event.Load)
+		c.Scheduler.UpdateLoad(now, event.Agent, event.Load)
 	case AgentConnected:
 		c.agentConnected(now, event.Agent)
 	case AgentDisconnected:
 		delete(c.connected, event.Agent)
 		delete(c.leaving, event.Agent)
-		c.Scheduler.SetLinked(now, event.Agent, false)
+		c.Scheduler.SetConnected(now, event.Agent, false)
 	case MembersChanged:
 		c.membersChanged(now, event)
 	case Configured:
--- a/entry/coordinator/leave.go
+++ b/entry/coordinator/leave.go
@@ -28,7 +28,7 @@
 // agentLeaving stops sending tasks to the agent. The agent refuses tasks that were sent before, or reports them on a
 // new stream, before it is released.
 func (c *Coordinator) agentLeaving(now time.Time, agent specifier.Identity) {
-	c.Scheduler.SetLinked(now, agent, false)
+	c.Scheduler.SetConnected(now, agent, false)
 	c.leaving[agent] = true
 }
 
--- a/entry/coordinator/membership.go
+++ b/entry/coordinator/membership.go
@@ -12,7 +12,7 @@
 
 func (c *Coordinator) agentConnected(now time.Time, agent specifier.Identity) {
 	c.connected[agent] = true
-	c.Scheduler.SetLinked(now, agent, true)
+	c.Scheduler.SetConnected(now, agent, true)
 	for _, job := range c.sorted(func(j *job) bool { return j.phase == running || j.phase == collecting }) {
 		if job.awaitedReports[agent] || slices.Contains(job.assignedAgents(), agent) {
 			c.fence(job, agent)
@@ -108,7 +108,7 @@
 		}
 	}
 	job.recordMissing = true
-	if job.phase == running && !c.Scheduler.Repeat(now, items) {
+	if job.phase == running && !c.Scheduler.RetryLost(now, items) {
 		c.fail(now, job, specifier.WorkerLost, "worker "+agent.Name+" was lost, and the retry budget of the profile is spent")
 	}
 }
--- a/entry/coordinator/run.go
+++ b/entry/coordinator/run.go
@@ -45,7 +45,7 @@
 // fail ends a job that this entry owns without results. The outcome is recorded before the callers are
 // answered, so that a later submission gets the same outcome.
 func (c *Coordinator) fail(now time.Time, job *job, reason specifier.Reason, detail string) {
-	c.Scheduler.Forget(job.spec.ID)
+	c.Scheduler.RemoveJob(job.spec.ID)
 	for _, agent := range job.assignedAgents() {
 		c.actions = append(c.actions, Withdraw{Agent: agent, Job: job.spec.ID, Epoch: job.epoch})
 	}
@@ -67,7 +67,7 @@
 }
 
 func (c *Coordinator) taskDone(now time.Time, e TaskDone) {
-	c.Scheduler.Done(now, e.Agent, e.Key, !e.Broken, e.RunTime)
+	c.Scheduler.TaskEnded(now, e.Agent, e.Key, !e.Broken, e.RunTime)
 	job := c.jobs[e.Key.Job]
 	if job == nil || (job.phase != running && job.phase != collecting) {
 		return
@@ -96,7 +96,7 @@
 func (c *Coordinator) taskRefused(now time.Time, e TaskRefused) {
 	job := c.jobs[e.Key.Job]
 	if job == nil || e.Epoch > job.epoch || job.phase != running {
-		c.Scheduler.Done(now, e.Agent, e.Key, true, 0)
+		c.Scheduler.TaskEnded(now, e.Agent, e.Key, true, 0)
 		return
 	}
 	i, ok := job.index[e.Key.Task]
@@ -109,7 +109,7 @@
 		c.superseded(now, job)
 		return
 	}
-	c.Scheduler.Refused(now, e.Agent, e.Key)
+	c.Scheduler.TaskRefused(now, e.Agent, e.Key)
 }
 
 // supersededCause is the cause that an agent gives when it refuses an epoch lower than one it has seen.
@@ -117,7 +117,7 @@
 
 // superseded stops a job that another entry may have taken over, and proposes the job again to find its owner.
 func (c *Coordinator) superseded(now time.Time, job *job) {
-	c.Scheduler.Forget(job.spec.ID)
+	c.Scheduler.RemoveJob(job.spec.ID)
 	for i := range job.slots {
 		job.slots[i].agent = specifier.Identity{}
 	}
--- a/replay/player/entry.go
+++ b/replay/player/entry.go
@@ -72,7 +72,7 @@
 
 func (e *entry) done(from *agent, key specifier.TaskKey, ok bool, run time.Duration) {
 	now := e.player.time.now
-	e.scheduler.Done(now, from.member.Identity, key, ok, run)
+	e.scheduler.TaskEnded(now, from.member.Identity, key, ok, run)
 	for _, id := range e.scheduler.Ejections() {
 		e.player.report.Ejected[id.Name]++
 	}
@@ -94,7 +94,7 @@
 
 func (e *entry) refused(from *agent, key specifier.TaskKey) {
 	e.player.jobs[key.Job].holders[from]--
-	e.scheduler.Refused(e.player.time.now, from.member.Identity, key)
+	e.scheduler.TaskRefused(e.player.time.now, from.member.Identity, key)
 	e.dispatch()
 }
 
@@ -107,7 +107,7 @@
 	if outcome == Completed {
 		return
 	}
-	e.scheduler.Forget(j.spec.ID)
+	e.scheduler.RemoveJob(j.spec.ID)
 	for _, holder := range e.player.ordered {
 		if j.holders[holder] > 0 {
 			e.player.send(e.zone, holder.zone, func() { holder.withdraw(j.spec.ID) })
@@ -131,7 +131,7 @@
 		e.end(e.player.jobs[each.Item.Key.Job], Failed)
 	}
 	for _, member := range members {
-		e.scheduler.SetLinked(e.player.time.now, member.Identity, true)
+		e.scheduler.SetConnected(e.player.time.now, member.Identity, true)
 	}
 	e.dispatch()
 }
--- a/replay/player/scheduler.go
+++ b/replay/player/scheduler.go
@@ -11,15 +11,15 @@
 // Scheduler is what an entry's coordinator calls.
 type Scheduler interface {
 	SetMembers(now time.Time, members []specifier.Member) []scheduler.Assignment
-	SetLinked(now time.Time, id specifier.Identity, linked bool)
+	SetConnected(now time.Time, id specifier.Identity, linked bool)
 	Admit(now time.Time, job specifier.Job, profile specifier.Profile) *scheduler.Refusal
 	Enqueue(now time.Time, items []scheduler.Item)
 	Dispatch(now time.Time) []scheduler.Assignment
-	Done(now time.Time, id specifier.Identity, key specifier.TaskKey, ok bool, runTime time.Duration)
-	Refused(now time.Time, id specifier.Identity, key specifier.TaskKey)
-	Reported(now time.Time, id specifier.Identity, load specifier.Load)
+	TaskEnded(now time.Time, id specifier.Identity, key specifier.TaskKey, ok bool, runTime time.Duration)
+	TaskRefused(now time.Time, id specifier.Identity, key specifier.TaskKey)
+	UpdateLoad(now time.Time, id specifier.Identity, load specifier.Load)
 	Ejections() []specifier.Identity
-	Forget(job specifier.JobID)
+	RemoveJob(job specifier.JobID)
 	Next() time.Time
 	Need(service string) map[string]float64
 	SetLease(now time.Time, service string, lease limiter.Lease)
