--- a/controller/server/disk.go
+++ b/controller/server/disk.go
@@ -131,7 +131,7 @@
 		case replicator.Truncate:
 			operations, last = append(operations, journaler.Truncate{From: uint64(action.From)}), action.Write
 		case replicator.Persist:
-			state := journaler.State{Term: uint64(action.State.Term), Vote: action.State.Vote.Name, VoteDisk: action.State.Vote.Disk}
+			state := journaler.HardState{Term: uint64(action.State.Term), Vote: action.State.Vote.Name, VoteDisk: action.State.Vote.Disk}
 			operations, last = append(operations, journaler.Persist{State: state}), action.Write
 		case replicator.Compact:
 			operations = append(operations, journaler.Compact{Through: uint64(action.Through)})
--- a/state/journaler/content.go
+++ b/state/journaler/content.go
@@ -3,7 +3,7 @@
 // Content is what the data folder held when it was opened.
 type Content struct {
 	Disk    uint64 // identity of the data folder
-	State   State
+	State   HardState
 	Base    uint64   // records up to Base are compacted away
 	Records []Record // consecutive, from Base+1
 }
--- a/state/journaler/journal.go
+++ b/state/journaler/journal.go
@@ -24,7 +24,7 @@
 	fresh   bool   // the active segment holds only its first frame
 	frame   uint64 // number of the next frame
 	disk    uint64
-	state   State
+	state   HardState
 	base    uint64
 	last    uint64
 	buffer  []byte
--- a/state/journaler/journal_test.go
+++ b/state/journaler/journal_test.go
@@ -47,7 +47,7 @@
 
 // Guards against operations that take effect in memory but not when the log is read again.
 func TestOperationsAreReadAgain(t *testing.T) {
-	state := State{Term: 3, Vote: "a", VoteDisk: 9}
+	state := HardState{Term: 3, Vote: "a", VoteDisk: 9}
 	for name, test := range map[string]struct {
 		operations []Operation
 		wanted     Content
@@ -56,7 +56,7 @@
 		"append":   {[]Operation{records(1, 3, 1)}, Content{Records: records(1, 3, 1).Records}},
 		"truncate": {[]Operation{records(1, 3, 1), Truncate{2}}, Content{Records: records(1, 1, 1).Records}},
 		"rewrite":  {[]Operation{records(1, 3, 1), Truncate{3}, records(3, 3, 2)}, Content{Records: append(records(1, 2, 1).Records, records(3, 3, 2).Records...)}},
-		"persist":  {[]Operation{Persist{State{Term: 1}}, Persist{state}}, Content{State: state}},
+		"persist":  {[]Operation{Persist{HardState{Term: 1}}, Persist{state}}, Content{State: state}},
 		"compact":  {[]Operation{records(1, 3, 1), Compact{2}}, Content{Base: 2, Records: records(3, 3, 1).Records}},
 		"reset":    {[]Operation{records(1, 3, 1), Reset{9}, records(10, 10, 4)}, Content{Base: 9, Records: records(10, 10, 4).Records}},
 	} {
@@ -147,7 +147,7 @@
 	journal, content := open(t, folder, size)
 	contents := []Content{content}
 	for _, operations := range [][]Operation{
-		{records(1, 2, 1), Persist{State{Term: 1, Vote: "a"}}}, {records(3, 4, 1)}, {Truncate{4}, records(4, 5, 2)}, {Compact{1}},
+		{records(1, 2, 1), Persist{HardState{Term: 1, Vote: "a"}}}, {records(3, 4, 1)}, {Truncate{4}, records(4, 5, 2)}, {Compact{1}},
 	} {
 		must.NoError(t, journal.Commit(operations...))
 		_, content := open(t, folder.crash(0), size)
@@ -230,7 +230,7 @@
 func (m *model) draw(t *rapid.T) Operation {
 	switch rapid.IntRange(0, 9).Draw(t, "operation") {
 	case 0:
-		m.State = State{Term: rapid.Uint64().Draw(t, "term"), Vote: rapid.String().Draw(t, "vote")}
+		m.State = HardState{Term: rapid.Uint64().Draw(t, "term"), Vote: rapid.String().Draw(t, "vote")}
 		return Persist{m.State}
 	case 1:
 		if len(m.Records) > 0 {
--- a/state/journaler/persist.go
+++ b/state/journaler/persist.go
@@ -2,7 +2,7 @@
 
 // Persist replaces the hard state.
 type Persist struct {
-	State State
+	State HardState
 }
 
 func (Persist) operation() {}
--- a/state/journaler/syncer_test.go
+++ b/state/journaler/syncer_test.go
@@ -37,12 +37,12 @@
 // Guards against one sync for each request, which would bound acceptance by the disk.
 func TestSyncerSharesOneSync(t *testing.T) {
 	folder := newFakeFolder()
-	reported, err := run(t, folder, Request{1, records(1, 2, 1)}, Request{0, Compact{1}}, Request{2, Persist{State{Term: 2}}},
+	reported, err := run(t, folder, Request{1, records(1, 2, 1)}, Request{0, Compact{1}}, Request{2, Persist{HardState{Term: 2}}},
 		Request{3, records(3, 3, 2)})
 	must.ErrorIs(t, err, context.Canceled)
 	must.Eq(t, []uint64{3}, reported)
 	must.Eq(t, 1, folder.syncs)
-	mustHold(t, folder.crash(0), 0, Content{Base: 1, State: State{Term: 2},
+	mustHold(t, folder.crash(0), 0, Content{Base: 1, State: HardState{Term: 2},
 		Records: append(records(2, 2, 1).Records, records(3, 3, 2).Records...)})
 }
 
