--- a/state/journaler/fuzz_test.go
+++ b/state/journaler/fuzz_test.go
@@ -26,7 +26,7 @@
 		journal := &Journal{Folder: folder, Disk: disk, Log: zerolog.Nop()}
 		content, err := journal.Open()
 		if err != nil {
-			var damage *Damage
+			var damage *CorruptionError
 			must.True(t, errors.As(err, &damage))
 			return
 		}
--- a/state/journaler/journal_test.go
+++ b/state/journaler/journal_test.go
@@ -173,7 +173,7 @@
 						mustEqual(t, contents[len(contents)-1], content)
 						continue
 					}
-					var damage *Damage
+					var damage *CorruptionError
 					must.True(t, errors.As(err, &damage))
 					must.ErrorContains(t, err, ".journal is damaged at offset ")
 				}
--- a/state/journaler/open.go
+++ b/state/journaler/open.go
@@ -33,7 +33,7 @@
 		return Content{Disk: j.disk}, nil
 	}
 	if cause := r.missing(); cause != "" {
-		return Content{}, &Damage{File: segments[0].name(), Cause: cause}
+		return Content{}, &CorruptionError{File: segments[0].name(), Cause: cause}
 	}
 	return r.content, j.resume(r)
 }
@@ -52,7 +52,7 @@
 		}
 		if n := len(segments); n > 0 && segments[n-1].number+1 != next.number {
 			cause := fmt.Sprintf("segment %d is missing", segments[n-1].number+1)
-			return nil, &Damage{File: segments[n-1].name(), Cause: cause}
+			return nil, &CorruptionError{File: segments[n-1].name(), Cause: cause}
 		}
 		segments = append(segments, next)
 	}
@@ -78,7 +78,7 @@
 	// A segment whose predecessors are removed was durable before they were.
 	if cause != "" && (!last || first && offset == 0 && s.number > 1) {
 		file.Close()
-		return &Damage{File: s.name(), Offset: offset, Cause: cause}
+		return &CorruptionError{File: s.name(), Offset: offset, Cause: cause}
 	}
 	if cause != "" {
 		if err := j.cut(file, s, offset, size, cause); err != nil {
@@ -114,11 +114,11 @@
 		}
 		for i, operation := range operations {
 			if (i == 0 && offset == 0) != (operation.GetSegment() != nil) {
-				return 0, "", &Damage{File: s.name(), Offset: offset, Cause: "expected a segment operation first and only there"}
+				return 0, "", &CorruptionError{File: s.name(), Offset: offset, Cause: "expected a segment operation first and only there"}
 			}
 			// The checksum is right, so this is not a torn write.
 			if cause := r.apply(operation, s); cause != "" {
-				return 0, "", &Damage{File: s.name(), Offset: offset, Cause: cause}
+				return 0, "", &CorruptionError{File: s.name(), Offset: offset, Cause: cause}
 			}
 		}
 		offset += length
@@ -137,7 +137,7 @@
 		return errors.Wrapf(err, "read %s after offset %d", s.name(), offset)
 	}
 	if later {
-		return &Damage{File: s.name(), Offset: offset, Cause: cause + ", and a later frame follows"}
+		return &CorruptionError{File: s.name(), Offset: offset, Cause: cause + ", and a later frame follows"}
 	}
 	j.Log.Warn().Str("File", s.name()).Int64("Offset", offset).Int64("Bytes", size-offset).Str("Cause", cause).
 		Msg("cut the torn tail of the journal")
--- a/state/snapshotter/snapshot.go
+++ b/state/snapshotter/snapshot.go
@@ -50,7 +50,7 @@
 	}
 	snapshot, cause, err := check(file)
 	if err == nil && cause != "" {
-		err = &journaler.Damage{File: name, Cause: cause}
+		err = &journaler.CorruptionError{File: name, Cause: cause}
 	}
 	if err != nil {
 		file.Close()
--- a/state/snapshotter/store.go
+++ b/state/snapshotter/store.go
@@ -52,12 +52,12 @@
 	if err != nil {
 		return nil, err
 	}
-	var damage *journaler.Damage
+	var damage *journaler.CorruptionError
 	for _, index := range slices.Backward(indexes) {
 		snapshot, err := open(s.Folder, fileName(index))
 		if err == nil && snapshot.Meta.Index != index {
 			snapshot.Close()
-			err = &journaler.Damage{File: fileName(index), Cause: fmt.Sprintf("it covers index %d", snapshot.Meta.Index)}
+			err = &journaler.CorruptionError{File: fileName(index), Cause: fmt.Sprintf("it covers index %d", snapshot.Meta.Index)}
 		}
 		if err == nil {
 			return snapshot, nil
