--- a/state/journaler/errors.go
+++ b/state/journaler/errors.go
@@ -9,5 +9,5 @@
 	// process starts again, so every later call fails too and the process must stop.
 	ErrFailed = errors.New("journal failed; the process must stop")
 	// ErrOrder means that an operation does not fit the log, which is a fault of the program.
-	ErrOrder = errors.New("operation out of order")
+	ErrOutOfOrder = errors.New("operation out of order")
 )
--- a/state/journaler/journal_test.go
+++ b/state/journaler/journal_test.go
@@ -80,7 +80,7 @@
 		t.Run(name, func(t *testing.T) {
 			journal, _ := open(t, newFakeFolder(), 0)
 			must.NoError(t, journal.Commit(records(1, 3, 1), Compact{1}))
-			must.ErrorIs(t, journal.Commit(operation), ErrOrder)
+			must.ErrorIs(t, journal.Commit(operation), ErrOutOfOrder)
 		})
 	}
 }
--- a/state/journaler/writer.go
+++ b/state/journaler/writer.go
@@ -27,7 +27,7 @@
 		}
 	case Truncate:
 		if operation.From <= j.base || operation.From > j.last {
-			return errors.Wrapf(ErrOrder, "truncate from %d in a log of %d to %d", operation.From, j.base+1, j.last)
+			return errors.Wrapf(ErrOutOfOrder, "truncate from %d in a log of %d to %d", operation.From, j.base+1, j.last)
 		}
 		j.last = operation.From - 1
 		w.put(&encoder.JournalOperation{Kind: &encoder.JournalOperation_TruncateFrom{TruncateFrom: operation.From}}, 0)
@@ -38,12 +38,12 @@
 		return w.reset(operation.Index)
 	case Compact:
 		if operation.Through > j.last {
-			return errors.Wrapf(ErrOrder, "compact through %d in a log that ends at %d", operation.Through, j.last)
+			return errors.Wrapf(ErrOutOfOrder, "compact through %d in a log that ends at %d", operation.Through, j.last)
 		}
 		j.base = max(j.base, operation.Through)
 		w.put(&encoder.JournalOperation{Kind: &encoder.JournalOperation_CompactThrough{CompactThrough: operation.Through}}, 0)
 	default:
-		return errors.Wrapf(ErrOrder, "unknown operation %T", operation)
+		return errors.Wrapf(ErrOutOfOrder, "unknown operation %T", operation)
 	}
 	return nil
 }
@@ -64,10 +64,10 @@
 func (w *writer) record(record Record) error {
 	j := w.journal
 	if record.Index != j.last+1 {
-		return errors.Wrapf(ErrOrder, "record %d follows record %d", record.Index, j.last)
+		return errors.Wrapf(ErrOutOfOrder, "record %d follows record %d", record.Index, j.last)
 	}
 	if len(record.Data) > MaxRecord {
-		return errors.Wrapf(ErrOrder, "record %d has %d bytes, expected at most %d", record.Index, len(record.Data), MaxRecord)
+		return errors.Wrapf(ErrOutOfOrder, "record %d has %d bytes, expected at most %d", record.Index, len(record.Data), MaxRecord)
 	}
 	if err := w.prepare(); err != nil {
 		return err
@@ -83,7 +83,7 @@
 func (w *writer) reset(index uint64) error {
 	j := w.journal
 	if index < j.base {
-		return errors.Wrapf(ErrOrder, "reset to %d below the base %d", index, j.base)
+		return errors.Wrapf(ErrOutOfOrder, "reset to %d below the base %d", index, j.base)
 	}
 	w.put(&encoder.JournalOperation{Kind: &encoder.JournalOperation_ResetTo{ResetTo: index}}, 0)
 	if err := w.flush(); err != nil {
