--- a/controller/server/disk.go
+++ b/controller/server/disk.go
@@ -36,7 +36,7 @@
 // openDisk reads the data folder and closes it after an error. It returns what the log recovers and the content of the newest snapshot.
 func openDisk(folder folder, log zerolog.Logger, mailbox *looper.Mailbox[driver.Event]) (*disk, recovery, error) {
 	d := &disk{mailbox: mailbox, folder: folder, synced: func(time.Duration) {}, queue: looper.NewOutbox[driver.Action](), saves: looper.NewOutbox[driver.Action]()}
-	d.journal = &journaler.Journal{Folder: folder, Disk: rand.Uint64(), Log: log}
+	d.journal = &journaler.Journal{Folder: folder, DiskID: rand.Uint64(), Log: log}
 	d.store = &snapshotter.Store{Folder: folder, Log: log}
 	recovered, err := d.recover()
 	if err != nil {
@@ -54,7 +54,7 @@
 	if err := d.store.Clean(); err != nil {
 		return recovery{}, err
 	}
-	r := recovery{disk: content.Disk}
+	r := recovery{disk: content.DiskID}
 	if content.State.Term > 0 {
 		r.log.State = replicator.HardState{Term: replicator.Term(content.State.Term),
 			Vote: replicator.ServerID{Name: content.State.Vote, Disk: content.State.VoteDisk}}
--- a/state/journaler/bench_test.go
+++ b/state/journaler/bench_test.go
@@ -22,7 +22,7 @@
 	disk, err := OpenDisk(b.TempDir())
 	must.NoError(b, err)
 	b.Cleanup(func() { must.NoError(b, disk.Close()) })
-	journal := &Journal{Folder: disk, Disk: 1, Log: zerolog.Nop()}
+	journal := &Journal{Folder: disk, DiskID: 1, Log: zerolog.Nop()}
 	_, err = journal.Open()
 	must.NoError(b, err)
 	return journal
--- a/state/journaler/fuzz_test.go
+++ b/state/journaler/fuzz_test.go
@@ -23,14 +23,14 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		folder := newFakeFolder()
 		folder.files[name] = &fakeFile{folder: folder, data: data, synced: len(data)}
-		journal := &Journal{Folder: folder, Disk: disk, Log: zerolog.Nop()}
+		journal := &Journal{Folder: folder, DiskID: disk, Log: zerolog.Nop()}
 		content, err := journal.Open()
 		if err != nil {
 			var damage *CorruptionError
 			must.True(t, errors.As(err, &damage))
 			return
 		}
-		journal = &Journal{Folder: folder, Disk: disk, Log: zerolog.Nop()}
+		journal = &Journal{Folder: folder, DiskID: disk, Log: zerolog.Nop()}
 		again, err := journal.Open()
 		must.NoError(t, err)
 		mustEqual(t, content, again)
--- a/state/journaler/journal.go
+++ b/state/journaler/journal.go
@@ -14,7 +14,7 @@
 type Journal struct {
 	Folder      Folder
 	SegmentSize int64  // 0 means DefaultSegmentSize
-	Disk        uint64 // identity for a folder that is new; random
+	DiskID      uint64 // identity for a folder that is new; random
 	Log         zerolog.Logger
 
 	sealed  []segment // oldest first
--- a/state/journaler/journal_test.go
+++ b/state/journaler/journal_test.go
@@ -15,7 +15,7 @@
 
 func open(t must.T, folder Folder, size int64) (*Journal, Content) {
 	t.Helper()
-	journal := &Journal{Folder: folder, SegmentSize: size, Disk: disk, Log: zerolog.Nop()}
+	journal := &Journal{Folder: folder, SegmentSize: size, DiskID: disk, Log: zerolog.Nop()}
 	content, err := journal.Open()
 	must.NoError(t, err)
 	return journal, content
@@ -33,7 +33,7 @@
 func mustHold(t must.T, folder Folder, size int64, wanted Content) {
 	t.Helper()
 	_, content := open(t, folder, size)
-	wanted.Disk = disk
+	wanted.DiskID = disk
 	mustEqual(t, wanted, content)
 }
 
@@ -198,7 +198,7 @@
 		torn := folder.crash(0)
 		torn.files[name].data = torn.files[name].data[:size]
 		var log bytes.Buffer
-		journal := &Journal{Folder: torn, Disk: disk, Log: zerolog.New(&log)}
+		journal := &Journal{Folder: torn, DiskID: disk, Log: zerolog.New(&log)}
 		content, err := journal.Open()
 		must.NoError(t, err)
 		for found < len(contents)-1 && !same(contents[found], content) {
@@ -260,7 +260,7 @@
 		size := rapid.SampledFrom([]int64{1, 200, 0}).Draw(t, "segment size")
 		folder := newFakeFolder()
 		journal, _ := open(t, folder, size)
-		m := &model{Content{Disk: disk}}
+		m := &model{Content{DiskID: disk}}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			var operations []Operation
 			for range rapid.IntRange(1, 4).Draw(t, "operations") {
--- a/state/journaler/open.go
+++ b/state/journaler/open.go
@@ -26,11 +26,11 @@
 		}
 	}
 	if !r.begun {
-		j.disk = j.Disk
+		j.disk = j.DiskID
 		if err := j.begin(1); err != nil {
 			return Content{}, j.fail(err)
 		}
-		return Content{Disk: j.disk}, nil
+		return Content{DiskID: j.disk}, nil
 	}
 	if cause := r.missing(); cause != "" {
 		return Content{}, &CorruptionError{File: segments[0].name(), Cause: cause}
@@ -170,6 +170,6 @@
 
 // resume takes over the replayed state.
 func (j *Journal) resume(r *replay) error {
-	j.disk, j.state, j.base, j.last = r.content.Disk, r.content.State, r.content.Base, r.last
+	j.disk, j.state, j.base, j.last = r.content.DiskID, r.content.State, r.content.Base, r.last
 	return j.removeCompacted()
 }
--- a/state/journaler/replay.go
+++ b/state/journaler/replay.go
@@ -41,14 +41,14 @@
 	if m.GetNumber() != in.number {
 		return fmt.Sprintf("the file is named for segment %d and holds segment %d", in.number, m.GetNumber())
 	}
-	if r.begun && (m.GetDisk() != r.content.Disk || m.GetLast() != r.last || m.GetBase() != r.content.Base) {
+	if r.begun && (m.GetDisk() != r.content.DiskID || m.GetLast() != r.last || m.GetBase() != r.content.Base) {
 		return "the segment does not continue the one before it"
 	}
 	if m.GetLast() < m.GetBase() {
 		return fmt.Sprintf("the last index %d is below the base %d", m.GetLast(), m.GetBase())
 	}
 	r.begun = true
-	r.content.Disk, r.content.Base, r.last = m.GetDisk(), m.GetBase(), m.GetLast()
+	r.content.DiskID, r.content.Base, r.last = m.GetDisk(), m.GetBase(), m.GetLast()
 	r.content.State = stateOf(m.GetState())
 	return ""
 }
--- a/state/registrar/bench_test.go
+++ b/state/registrar/bench_test.go
@@ -125,7 +125,7 @@
 }
 
 func fill(b *testing.B, disk *journaler.Disk, count int, command func(i uint64) specifier.Command) {
-	journal := &journaler.Journal{Folder: disk, Disk: 1, Log: zerolog.Nop()}
+	journal := &journaler.Journal{Folder: disk, DiskID: 1, Log: zerolog.Nop()}
 	_, err := journal.Open()
 	must.NoError(b, err)
 	var records []journaler.Record
@@ -146,7 +146,7 @@
 }
 
 func recovered(b *testing.B, disk *journaler.Disk) *Registrar {
-	journal := &journaler.Journal{Folder: disk, Disk: 1, Log: zerolog.Nop()}
+	journal := &journaler.Journal{Folder: disk, DiskID: 1, Log: zerolog.Nop()}
 	content, err := journal.Open()
 	must.NoError(b, err)
 	r := New(len(content.Records))
