--- a/controller/server/disk.go
+++ b/controller/server/disk.go
@@ -77,7 +77,7 @@
 
 func (d *disk) readSnapshot(r *recovery) error {
 	newest, err := d.store.Newest()
-	if errors.Is(err, snapshotter.ErrNone) {
+	if errors.Is(err, snapshotter.ErrNoSnapshot) {
 		return nil
 	}
 	if err != nil {
--- a/state/snapshotter/store.go
+++ b/state/snapshotter/store.go
@@ -70,7 +70,7 @@
 	if damage != nil {
 		return nil, damage
 	}
-	return nil, ErrNone
+	return nil, ErrNoSnapshot
 }
 
 // Save stores what write writes as the snapshot of meta and returns once it survives a crash.
--- a/state/snapshotter/store_test.go
+++ b/state/snapshotter/store_test.go
@@ -54,7 +54,7 @@
 func TestSaveReplacesOlder(t *testing.T) {
 	store, _ := newStore(t)
 	_, err := store.Newest()
-	must.ErrorIs(t, err, ErrNone)
+	must.ErrorIs(t, err, ErrNoSnapshot)
 	large := bytes.Repeat([]byte("state"), MaxChunk)
 	must.NoError(t, save(store, 9, []byte("first")))
 	reader, err := store.Newest()
