--- a/controller/driver/status.go
+++ b/controller/driver/status.go
@@ -24,7 +24,7 @@
 
 func (d *Driver) state(now time.Time, revision specifier.Revision) (operator.State, error) {
 	registrar := d.Sequencer.Registrar
-	state := operator.State{Configuration: registrar.Configuration(), Operator: registrar.Changed(), Members: registrar.Members(),
+	state := operator.State{Configuration: registrar.Configuration(), Operator: registrar.LastOperator(), Members: registrar.Members(),
 		Controllers: d.controllers(now)}
 	loads := d.Sequencer.Loads()
 	for _, member := range state.Members {
--- a/state/registrar/changed.go
+++ b/state/registrar/lastoperator.go
@@ -1,4 +1,4 @@
 package registrar
 
 // Changed returns the operator who made the newest change of the configuration.
-func (r *Registrar) Changed() string { return r.changed }
+func (r *Registrar) LastOperator() string { return r.changed }
