--- a/controller/driver/stop.go
+++ b/controller/driver/stop.go
@@ -31,6 +31,6 @@
 func (d *Driver) measure(now time.Time, request Measure) {
 	registrar := d.Sequencer.Registrar
 	d.out = append(d.out, Action{Measured: &Measured{Ticket: request.Ticket, Term: uint64(d.Node.Term()), Leading: d.Node.Leading(now),
-		Commit: uint64(d.Node.Commit()), Applied: uint64(d.Node.Applied()), Submissions: registrar.Submissions(),
+		Commit: uint64(d.Node.Commit()), Applied: uint64(d.Node.Applied()), Submissions: registrar.SubmissionCount(),
 		Revision: registrar.Configuration().Revision, Members: registrar.Members()}})
 }
--- a/state/registrar/bench_test.go
+++ b/state/registrar/bench_test.go
@@ -61,7 +61,7 @@
 			}
 			b.ReportMetric((heap()-before)/float64(count), "heap-B/submission")
 			b.ReportMetric(b.Elapsed().Seconds()/float64(b.N)/float64(2*count)*1e9, "ns/command")
-			must.Eq(b, count, r.Submissions())
+			must.Eq(b, count, r.SubmissionCount())
 		})
 	}
 }
--- a/state/registrar/registrar.go
+++ b/state/registrar/registrar.go
@@ -70,7 +70,7 @@
 func (r *Registrar) Index() uint64 { return r.index }
 
 // Submissions returns how many submissions are remembered.
-func (r *Registrar) Submissions() int { return len(r.submissions) }
+func (r *Registrar) SubmissionCount() int { return len(r.submissions) }
 
 // Configuration returns the configuration in force. It must not be changed; a later change
 // replaces its maps and leaves them as they are.
--- a/state/registrar/submissions_test.go
+++ b/state/registrar/submissions_test.go
@@ -101,9 +101,9 @@
 			b.want(specifier.Applied, specifier.EndMember{Identity: first})
 			b.want(specifier.Accepted, takeOver(1, second, 1))
 			b.advance(specifier.MaxTimeLeft + specifier.KeyRetention - time.Nanosecond)
-			must.Eq(b.t, 1, b.registrar.Submissions())
+			must.Eq(b.t, 1, b.registrar.SubmissionCount())
 			b.advance(10 * time.Second)
-			must.Eq(b.t, 0, b.registrar.Submissions())
+			must.Eq(b.t, 0, b.registrar.SubmissionCount())
 		},
 		"lost decision, then accept": func(b *bench) {
 			down(b)
