--- a/state/journaler/append.go
+++ b/state/journaler/append.go
@@ -1,6 +1,6 @@
 package journaler
 
-// Append adds consecutive records; the first follows the last record of the log.
+// Append adds consecutive records to the end of the log.
 type Append struct {
 	Records []Record
 }
--- a/state/journaler/bench_test.go
+++ b/state/journaler/bench_test.go
@@ -15,10 +15,10 @@
 	"oleandertally/core/looper"
 )
 
-// batchSize is about one encoded batch with a single AcceptJob.
+// batchSize is the approximate size of an encoded batch with one AcceptJob, in bytes.
 const batchSize = 128
 
-func openDisk(b *testing.B) *Journal {
+func openTestJournal(b *testing.B) *Journal {
 	disk, err := OpenDisk(b.TempDir())
 	must.NoError(b, err)
 	b.Cleanup(func() { must.NoError(b, disk.Close()) })
@@ -28,8 +28,8 @@
 	return journal
 }
 
-// report adds the percentiles of the durations, in microseconds.
-func report(b *testing.B, name string, durations []time.Duration) {
+// reportPercentiles reports the median and the 99th percentile of the durations, in microseconds.
+func reportPercentiles(b *testing.B, name string, durations []time.Duration) {
 	slices.Sort(durations)
 	at := func(share float64) float64 {
 		return float64(durations[int(share*float64(len(durations)-1))].Microseconds())
@@ -38,13 +38,13 @@
 	b.ReportMetric(at(0.99), name+"-p99-µs")
 }
 
-// BenchmarkSync alternates a bare write and sync of one file with an acceptance through an idle
-// Syncer, so that both meet the same disk.
+// BenchmarkSync compares a plain write and sync with an append through an idle Syncer. The two
+// alternate, so that both are measured under the same disk load.
 func BenchmarkSync(b *testing.B) {
-	journal := openDisk(b)
-	bare, err := os.OpenFile(b.TempDir()+"/bare", os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+	journal := openTestJournal(b)
+	plainFile, err := os.OpenFile(b.TempDir()+"/bare", os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	must.NoError(b, err)
-	defer bare.Close()
+	defer plainFile.Close()
 	done := make(chan uint64, 1)
 	syncer := &Syncer{Journal: journal, Queue: looper.NewOutbox[Request](), Report: func(write uint64) { done <- write }}
 	var group errgroup.Group
@@ -53,45 +53,45 @@
 	var syncs, accepts []time.Duration
 	for i := uint64(1); b.Loop(); i++ {
 		start := time.Now()
-		_, err := bare.Write(data)
+		_, err := plainFile.Write(data)
 		must.NoError(b, err)
-		must.NoError(b, bare.Sync())
-		middle := time.Now()
+		must.NoError(b, plainFile.Sync())
+		syncedAt := time.Now()
 		syncer.Queue.Put(Request{i, Append{[]Record{{Index: i, Term: 1, Data: data}}}})
 		<-done
-		syncs, accepts = append(syncs, middle.Sub(start)), append(accepts, time.Since(middle))
+		syncs, accepts = append(syncs, syncedAt.Sub(start)), append(accepts, time.Since(syncedAt))
 	}
-	report(b, "sync", syncs)
-	report(b, "accept", accepts)
+	reportPercentiles(b, "sync", syncs)
+	reportPercentiles(b, "accept", accepts)
 }
 
-// BenchmarkSyncer keeps a number of appends in flight. Group commit lets all that wait share a
-// sync; its counterpart syncs each one.
+// BenchmarkSyncer compares group commit, where pending appends share a sync, with one sync for
+// each append.
 func BenchmarkSyncer(b *testing.B) {
-	for _, flight := range []int{1, 8, 64, 512} {
-		b.Run(fmt.Sprintf("group/%d", flight), func(b *testing.B) {
-			journal := openDisk(b)
-			done := make(chan uint64, flight)
+	for _, inFlight := range []int{1, 8, 64, 512} {
+		b.Run(fmt.Sprintf("group/%d", inFlight), func(b *testing.B) {
+			journal := openTestJournal(b)
+			done := make(chan uint64, inFlight)
 			syncer := &Syncer{Journal: journal, Queue: looper.NewOutbox[Request](), Report: func(write uint64) { done <- write }}
 			var group errgroup.Group
 			group.Go(func() error { return syncer.Run(b.Context()) })
 			data := make([]byte, batchSize)
-			var put, synced uint64
+			var submitted, synced uint64
 			for b.Loop() {
-				for put-synced >= uint64(flight) {
+				for submitted-synced >= uint64(inFlight) {
 					synced = <-done
 				}
-				put++
-				syncer.Queue.Put(Request{put, Append{[]Record{{Index: put, Term: 1, Data: data}}}})
+				submitted++
+				syncer.Queue.Put(Request{submitted, Append{[]Record{{Index: submitted, Term: 1, Data: data}}}})
 			}
-			for synced < put {
+			for synced < submitted {
 				synced = <-done
 			}
-			b.ReportMetric(float64(put)/b.Elapsed().Seconds(), "appends/s")
+			b.ReportMetric(float64(submitted)/b.Elapsed().Seconds(), "appends/s")
 		})
 	}
 	b.Run("each", func(b *testing.B) {
-		journal := openDisk(b)
+		journal := openTestJournal(b)
 		data := make([]byte, batchSize)
 		var index uint64
 		for b.Loop() {
@@ -102,27 +102,28 @@
 	})
 }
 
-// BenchmarkRecovery opens a log of many records, one in each frame, from files in the page cache.
+// BenchmarkRecovery opens a log with one record in each frame, from files in the page cache.
 func BenchmarkRecovery(b *testing.B) {
 	for _, count := range []int{1000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
-			disk := fill(b, count)
+			disk := writeJournal(b, count)
 			var content Content
-			before := heap()
+			before := heapBytes()
 			for b.Loop() {
 				content = Content{}
-				_, content = open(b, disk, 0)
+				_, content = openJournal(b, disk, 0)
 			}
-			b.ReportMetric((float64(heap())-float64(before))/float64(count), "heap-B/record")
+			b.ReportMetric((float64(heapBytes())-float64(before))/float64(count), "heap-B/record")
 			must.Eq(b, count, len(content.Records))
 		})
 	}
 }
 
-// fill writes the log in memory first, because one sync for each frame would take minutes.
-func fill(b *testing.B, count int) *Disk {
+// writeJournal writes the log in memory and copies it to disk, because one sync for each frame
+// would take minutes.
+func writeJournal(b *testing.B, count int) *Disk {
 	folder := newFakeFolder()
-	journal, _ := open(b, folder, 0)
+	journal, _ := openJournal(b, folder, 0)
 	for i := range uint64(count) {
 		must.NoError(b, journal.Commit(Append{[]Record{{Index: i + 1, Term: 1, Data: make([]byte, batchSize)}}}))
 	}
@@ -137,7 +138,7 @@
 	return disk
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
--- a/state/journaler/compact.go
+++ b/state/journaler/compact.go
@@ -1,6 +1,6 @@
 package journaler
 
-// Compact allows the records up to Through to be removed.
+// Compact marks the records up to and including Through as removable.
 type Compact struct {
 	Through uint64
 }
--- a/state/journaler/content.go
+++ b/state/journaler/content.go
@@ -1,9 +1,9 @@
 package journaler
 
-// Content is what the data folder held when it was opened.
+// Content is the recovered content of a data folder.
 type Content struct {
 	DiskID  uint64 // identity of the data folder
 	State   HardState
-	Base    uint64   // records up to Base are compacted away
+	Base    uint64   // index of the last compacted record
 	Records []Record // consecutive, from Base+1
 }
--- a/state/journaler/disk.go
+++ b/state/journaler/disk.go
@@ -8,7 +8,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-const lockName = "LOCK"
+const lockFileName = "LOCK"
 
 // Disk is a locked folder of the file system.
 type Disk struct {
@@ -16,13 +16,13 @@
 	lock *os.File
 }
 
-// OpenDisk creates the folder at path if it is absent and locks it until Close. The kernel
-// releases the lock when the process ends in any way.
+// OpenDisk creates the folder at path if it does not exist and locks it until Close. The kernel
+// also releases the lock when the process crashes.
 func OpenDisk(path string) (*Disk, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, errors.Wrap(err, "create data folder")
 	}
-	lock, err := os.OpenFile(filepath.Join(path, lockName), os.O_CREATE|os.O_RDWR, 0o600)
+	lock, err := os.OpenFile(filepath.Join(path, lockFileName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, errors.Wrap(err, "open lock of data folder")
 	}
@@ -33,7 +33,7 @@
 		}
 		return nil, errors.Wrap(err, "lock data folder")
 	}
-	// The folder's own entry in its parent must survive a crash too.
+	// A new folder survives a crash only when its entry in the parent folder is synced.
 	if err := syncFolder(filepath.Dir(path)); err != nil {
 		lock.Close()
 		return nil, err
--- a/state/journaler/diskfile.go
+++ b/state/journaler/diskfile.go
@@ -7,7 +7,7 @@
 	*os.File
 }
 
-// openFile sets O_APPEND, so that a write cannot overwrite what is already synced.
+// openFile opens a file with O_APPEND, so that a write cannot overwrite synced data.
 func openFile(path string, flags int) (File, error) {
 	file, err := os.OpenFile(path, flags|os.O_RDWR|os.O_APPEND, 0o600)
 	if err != nil {
--- a/state/journaler/errors.go
+++ b/state/journaler/errors.go
@@ -3,11 +3,11 @@
 import "github.com/cockroachdb/errors"
 
 var (
-	// ErrLocked means that another process holds the data folder.
+	// ErrLocked means that another process has locked the data folder.
 	ErrLocked = errors.New("data folder is in use")
-	// ErrFailed means that a write or a sync failed. What the disk holds is unknown until the
-	// process starts again, so every later call fails too and the process must stop.
+	// ErrFailed means that a write or a sync failed. The content of the disk is unknown until the
+	// journal is reopened, so every later call fails too and the process must stop.
 	ErrFailed = errors.New("journal failed; the process must stop")
-	// ErrOrder means that an operation does not fit the log, which is a fault of the program.
+	// ErrOutOfOrder means that an operation does not fit the current log, which is a bug in the caller.
 	ErrOutOfOrder = errors.New("operation out of order")
 )
--- a/state/journaler/failure.go
+++ b/state/journaler/failure.go
@@ -1,14 +1,14 @@
 package journaler
 
-// failure is an ErrFailed with its cause.
+// failure is an error that matches ErrFailed and wraps its cause.
 type failure struct {
 	cause error
 }
 
-// Error names the cause.
+// Error returns the text of ErrFailed followed by the cause.
 func (f *failure) Error() string { return ErrFailed.Error() + ": " + f.cause.Error() }
 
-// Is matches ErrFailed.
+// Is reports whether target is ErrFailed.
 func (f *failure) Is(target error) bool { return target == ErrFailed }
 
 // Unwrap returns the cause.
--- a/state/journaler/fakefolder_test.go
+++ b/state/journaler/fakefolder_test.go
@@ -8,13 +8,13 @@
 	"slices"
 )
 
-// fakeFolder is a data folder in memory that fails on request and forgets on a crash what was not synced.
+// fakeFolder is an in-memory data folder with injectable errors. A simulated crash loses unsynced data.
 type fakeFolder struct {
-	files     map[string]*fakeFile
-	durable   map[string]*fakeFile // what the folder holds after a crash
-	failSync  error                // of any file or of the folder
-	failWrite error                // after half of the bytes
-	syncs     int
+	files    map[string]*fakeFile
+	durable  map[string]*fakeFile // files that survive a crash
+	syncErr  error                // returned by Sync of the folder and of its files
+	writeErr error                // returned by Write after half of the bytes
+	syncs    int
 }
 
 func newFakeFolder() *fakeFolder {
@@ -48,19 +48,19 @@
 }
 
 func (f *fakeFolder) Sync() error {
-	if f.failSync != nil {
-		return f.failSync
+	if f.syncErr != nil {
+		return f.syncErr
 	}
 	f.durable = maps.Clone(f.files)
 	return nil
 }
 
-// crash returns the folder as the next process finds it: of what was not synced, the first
-// kept bytes of each file are there.
-func (f *fakeFolder) crash(kept int) *fakeFolder {
+// crash returns the folder as it is found after a crash. Of the unsynced data of each file only
+// the first survivingBytes bytes remain.
+func (f *fakeFolder) crash(survivingBytes int) *fakeFolder {
 	next := newFakeFolder()
 	for name, file := range f.durable {
-		size := min(len(file.data), file.synced+kept)
+		size := min(len(file.data), file.synced+survivingBytes)
 		next.files[name] = &fakeFile{folder: next, data: bytes.Clone(file.data[:size]), synced: size}
 	}
 	next.durable = maps.Clone(next.files)
@@ -76,24 +76,24 @@
 // fakeHandle is an open file with its own read position.
 type fakeHandle struct {
 	*fakeFile
-	at int64
+	offset int64
 }
 
 func (h *fakeHandle) Read(p []byte) (int, error) {
-	n, err := h.ReadAt(p, h.at)
-	h.at += int64(n)
+	n, err := h.ReadAt(p, h.offset)
+	h.offset += int64(n)
 	if n > 0 {
 		err = nil
 	}
 	return n, err
 }
 
-func (h *fakeHandle) ReadAt(p []byte, at int64) (int, error) {
-	return bytes.NewReader(h.data).ReadAt(p, at)
+func (h *fakeHandle) ReadAt(p []byte, offset int64) (int, error) {
+	return bytes.NewReader(h.data).ReadAt(p, offset)
 }
 
 func (h *fakeHandle) Write(p []byte) (int, error) {
-	if err := h.folder.failWrite; err != nil {
+	if err := h.folder.writeErr; err != nil {
 		h.data = append(h.data, p[:len(p)/2]...)
 		return len(p) / 2, err
 	}
@@ -102,8 +102,8 @@
 }
 
 func (h *fakeHandle) Sync() error {
-	if h.folder.failSync != nil {
-		return h.folder.failSync
+	if h.folder.syncErr != nil {
+		return h.folder.syncErr
 	}
 	h.folder.syncs++
 	h.synced = len(h.data)
--- a/state/journaler/file.go
+++ b/state/journaler/file.go
@@ -2,7 +2,7 @@
 
 import "io"
 
-// File is one file of a data folder. Write appends.
+// File is an open file of a data folder. Write appends to its end.
 type File interface {
 	io.Reader
 	io.ReaderAt
@@ -10,6 +10,7 @@
 	io.Closer
 	Size() (int64, error)
 	Truncate(size int64) error
-	// Sync makes the content durable. After an error the content is unknown: it must not be retried.
+	// Sync makes the content durable. A failed Sync must not be retried, because the kernel may
+	// already have dropped the unwritten data.
 	Sync() error
 }
--- a/state/journaler/folder.go
+++ b/state/journaler/folder.go
@@ -1,13 +1,13 @@
 package journaler
 
-// Folder is the data folder of one controller. *Disk implements it; tests replace it to inject
-// faults. Names are plain file names.
+// Folder is the data folder of a controller. *Disk implements Folder, and tests implement it to
+// inject faults. Names are file names without a path.
 type Folder interface {
-	// Names returns the files, in ascending order.
+	// Names returns the names of the files in ascending order.
 	Names() ([]string, error)
-	// Create returns an empty file, replacing an earlier one.
+	// Create creates an empty file and replaces an existing one of the same name.
 	Create(name string) (File, error)
-	// Open returns a file for reading and appending.
+	// Open opens an existing file for reading and appending.
 	Open(name string) (File, error)
 	Rename(from, to string) error
 	Remove(name string) error
--- a/state/journaler/frame.go
+++ b/state/journaler/frame.go
@@ -14,9 +14,10 @@
 const (
 	// MaxRecord is the largest Data of a record, in bytes.
 	MaxRecord = 8 << 20
-	// frameTarget is the payload size from which a frame takes no more records. It bounds the buffer.
+	// frameTarget is the payload size, in bytes, at which a frame is written. It bounds the write buffer.
 	frameTarget = 4 << 20
-	// maxPayload is the largest payload that a reader accepts: a full frame with one more record.
+	// maxPayload is the largest payload that a reader accepts, in bytes. A frame just below frameTarget
+	// can still receive one more record of the largest size.
 	maxPayload = frameTarget + MaxRecord + 4096
 
 	headerSize = 24
@@ -43,7 +44,7 @@
 	return binary.LittleEndian.AppendUint32(buffer, crc32.Checksum(buffer[start:], castagnoli))
 }
 
-// parseHeader reports whether raw begins with a valid header.
+// parseHeader decodes the header at the start of raw and reports whether it is valid.
 func parseHeader(raw []byte) (header, bool) {
 	if len(raw) < headerSize || !bytes.Equal(raw[:4], magic) {
 		return header{}, false
@@ -56,7 +57,7 @@
 	return h, h.length <= maxPayload
 }
 
-// appendFrame appends the encoded frame to buffer.
+// appendFrame encodes a frame and appends it to buffer.
 func appendFrame(buffer []byte, number uint64, operations []*encoder.JournalOperation) ([]byte, error) {
 	start := len(buffer)
 	buffer = append(buffer, make([]byte, headerSize)...)
@@ -70,12 +71,12 @@
 	return buffer, nil
 }
 
-// readFrame reads the frame at the reader's position. The cause is empty when the frame is
-// valid; err is an error of the disk, not of the content.
+// readFrame reads the next frame, which must have the given number. For invalid content cause
+// describes the problem; err reports only I/O errors.
 func readFrame(reader io.Reader, number uint64) (operations []*encoder.JournalOperation, size int64, cause string, err error) {
 	raw := make([]byte, headerSize)
 	if n, err := io.ReadFull(reader, raw); err != nil {
-		return nil, 0, "the header has " + itoa(n) + " of 24 bytes", ignoreEnd(err)
+		return nil, 0, "the header has " + itoa(n) + " of 24 bytes", ignoreEOF(err)
 	}
 	h, ok := parseHeader(raw)
 	if !ok {
@@ -86,7 +87,7 @@
 	}
 	payload := make([]byte, h.length)
 	if n, err := io.ReadFull(reader, payload); err != nil {
-		return nil, 0, "the frame has " + itoa(n) + " of " + itoa(h.length) + " bytes", ignoreEnd(err)
+		return nil, 0, "the frame has " + itoa(n) + " of " + itoa(h.length) + " bytes", ignoreEOF(err)
 	}
 	if crc32.Checksum(payload, castagnoli) != h.checksum {
 		return nil, 0, "the checksum of the frame differs", nil
@@ -98,34 +99,34 @@
 	return frame.Operations, headerSize + int64(h.length), "", nil
 }
 
-func ignoreEnd(err error) error {
+func ignoreEOF(err error) error {
 	if err == io.EOF || err == io.ErrUnexpectedEOF {
 		return nil
 	}
 	return err
 }
 
-// laterFrame reports whether a header of a frame after number lies anywhere in the rest of the file.
-func laterFrame(reader io.Reader, number uint64) (bool, error) {
+// containsLaterFrame reports whether the rest of the file contains the header of a frame with a higher number.
+func containsLaterFrame(reader io.Reader, number uint64) (bool, error) {
 	window := make([]byte, 0, 1<<16)
 	for {
 		n, err := reader.Read(window[len(window):cap(window)])
 		window = window[:len(window)+n]
-		for at := 0; at+headerSize <= len(window); at++ {
-			next := bytes.Index(window[at:], magic)
+		for offset := 0; offset+headerSize <= len(window); offset++ {
+			next := bytes.Index(window[offset:], magic)
 			if next < 0 {
 				break
 			}
-			at += next
-			if h, ok := parseHeader(window[at:]); ok && h.number > number {
+			offset += next
+			if h, ok := parseHeader(window[offset:]); ok && h.number > number {
 				return true, nil
 			}
 		}
 		if err != nil {
-			return false, ignoreEnd(err)
+			return false, ignoreEOF(err)
 		}
-		// A header may lie across two reads.
-		keep := min(len(window), headerSize-1)
-		window = window[:copy(window[:keep], window[len(window)-keep:])]
+		// A header may span two reads, so the end of the window is kept.
+		overlap := min(len(window), headerSize-1)
+		window = window[:copy(window[:overlap], window[len(window)-overlap:])]
 	}
 }
--- a/state/journaler/fuzz_test.go
+++ b/state/journaler/fuzz_test.go
@@ -8,10 +8,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// Guards against a panic, an endless loop or an unbounded allocation on a damaged file, and
-// against content that a second start reads differently.
+// Guards against a panic, an endless loop or an unbounded allocation when Open reads a damaged
+// file, and against a second Open that returns different content.
 func FuzzOpen(f *testing.F) {
-	folder, _ := filled(f, 0)
+	folder, _ := populatedFolder(f, 0)
 	name := segment{number: 1}.name()
 	data := folder.files[name].data
 	f.Add(data)
@@ -23,16 +23,16 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		folder := newFakeFolder()
 		folder.files[name] = &fakeFile{folder: folder, data: data, synced: len(data)}
-		journal := &Journal{Folder: folder, DiskID: disk, Log: zerolog.Nop()}
+		journal := &Journal{Folder: folder, DiskID: testDiskID, Log: zerolog.Nop()}
 		content, err := journal.Open()
 		if err != nil {
-			var damage *CorruptionError
-			must.True(t, errors.As(err, &damage))
+			var corruption *CorruptionError
+			must.True(t, errors.As(err, &corruption))
 			return
 		}
-		journal = &Journal{Folder: folder, DiskID: disk, Log: zerolog.Nop()}
-		again, err := journal.Open()
+		journal = &Journal{Folder: folder, DiskID: testDiskID, Log: zerolog.Nop()}
+		reopened, err := journal.Open()
 		must.NoError(t, err)
-		mustEqual(t, content, again)
+		mustEqual(t, content, reopened)
 	})
 }
--- a/state/journaler/hardstate.go
+++ b/state/journaler/hardstate.go
@@ -2,17 +2,17 @@
 
 import "oleandertally/core/encoder"
 
-// State is the hard state of consensus: what a server must not forget about elections.
+// HardState is the election state of a Raft server that must survive a restart.
 type HardState struct {
 	Term     uint64
-	Vote     string // name of the server voted for in Term; empty when for nobody
+	Vote     string // name of the server that got the vote in Term; empty if none did
 	VoteDisk uint64 // disk identity of that server
 }
 
-func (s HardState) message() *encoder.JournalState {
+func (s HardState) encode() *encoder.JournalState {
 	return &encoder.JournalState{Term: s.Term, Vote: s.Vote, VoteDisk: s.VoteDisk}
 }
 
-func stateOf(m *encoder.JournalState) HardState {
+func decodeHardState(m *encoder.JournalState) HardState {
 	return HardState{Term: m.GetTerm(), Vote: m.GetVote(), VoteDisk: m.GetVoteDisk()}
 }
--- a/state/journaler/journal.go
+++ b/state/journaler/journal.go
@@ -7,39 +7,39 @@
 	"oleandertally/core/encoder"
 )
 
-// DefaultSegmentSize is the size from which a segment takes no more frames, in bytes.
+// DefaultSegmentSize is the default size at which a segment is full, in bytes.
 const DefaultSegmentSize = 64 << 20
 
-// Journal writes the log. It is used by one goroutine; exported fields are set before Open.
+// Journal is a write-ahead log. It is not safe for concurrent use. Exported fields are set before Open.
 type Journal struct {
 	Folder      Folder
-	SegmentSize int64  // 0 means DefaultSegmentSize
-	DiskID      uint64 // identity for a folder that is new; random
+	SegmentSize int64  // size in bytes at which a new segment starts; 0 means DefaultSegmentSize
+	DiskID      uint64 // random identity that a new data folder gets
 	Log         zerolog.Logger
 
-	sealed  []segment // oldest first
-	active  segment
-	file    File
-	size    int64
-	fresh   bool   // the active segment holds only its first frame
-	frame   uint64 // number of the next frame
-	disk    uint64
-	state   HardState
-	base    uint64
-	last    uint64
-	buffer  []byte
-	failure error
+	sealed      []segment // oldest first
+	active      segment
+	file        File
+	size        int64  // of the active segment, in bytes
+	activeEmpty bool   // whether the active segment holds only its initial frame
+	nextFrame   uint64 // number of the next frame
+	diskID      uint64 // stored identity of the data folder
+	state       HardState
+	base        uint64 // index of the last compacted record
+	last        uint64 // index of the last record
+	buffer      []byte
+	failure     error
 }
 
-// Base returns the index through which records are compacted away.
+// Base returns the index of the last compacted record.
 func (j *Journal) Base() uint64 { return j.base }
 
-// Last returns the index of the last record, or Base when there is none.
+// Last returns the index of the last record, or Base if the log is empty.
 func (j *Journal) Last() uint64 { return j.last }
 
-// Commit writes the operations in order and returns once they survive a crash. Several
-// operations share one sync unless their records exceed 4 MiB. Every error is an ErrFailed and
-// permanent; one that the caller caused is an ErrOrder too.
+// Commit writes the operations in order and returns once they are durable. All operations
+// share one sync unless their records exceed 4 MiB. Every error is permanent and matches
+// ErrFailed; an error caused by an invalid operation also matches ErrOutOfOrder.
 func (j *Journal) Commit(operations ...Operation) error {
 	if j.failure != nil {
 		return j.failure
@@ -59,30 +59,30 @@
 	return nil
 }
 
-// Close marks the end of the log as synced and closes the file. It does not close the folder.
+// Close writes an empty frame after the last one and closes the active segment. The folder stays open.
 func (j *Journal) Close() error {
 	if j.file == nil {
 		return nil
 	}
 	var err error
 	if j.failure == nil {
-		err = j.write(nil)
-		j.failure = &failure{cause: errors.New("it is closed")}
+		err = j.writeFrame(nil)
+		j.failure = &failure{cause: errors.New("journal is closed")}
 	}
 	err = errors.CombineErrors(err, j.file.Close())
 	j.file = nil
 	return err
 }
 
-// fail makes err the result of every later call.
+// fail records err, so that every later Commit returns it.
 func (j *Journal) fail(err error) error {
 	j.failure = &failure{cause: err}
 	return j.failure
 }
 
-// write appends one frame to the active segment and syncs it.
-func (j *Journal) write(operations []*encoder.JournalOperation) error {
-	buffer, err := appendFrame(j.buffer[:0], j.frame, operations)
+// writeFrame appends one frame to the active segment and syncs it.
+func (j *Journal) writeFrame(operations []*encoder.JournalOperation) error {
+	buffer, err := appendFrame(j.buffer[:0], j.nextFrame, operations)
 	if err != nil {
 		return errors.Wrap(err, "encode frame")
 	}
@@ -95,14 +95,15 @@
 	if err := j.file.Sync(); err != nil {
 		return errors.Wrapf(err, "sync %s", j.active.name())
 	}
-	j.fresh = false
-	j.frame++
+	j.activeEmpty = false
+	j.nextFrame++
 	j.size += int64(len(buffer))
 	return nil
 }
 
-// begin starts a segment. The folder is synced before anything in the segment is relied on.
-func (j *Journal) begin(number uint64) error {
+// startSegment creates a segment and makes it the active one. The folder is synced before the
+// segment is used, so that a crash cannot lose the file.
+func (j *Journal) startSegment(number uint64) error {
 	next := segment{number: number}
 	file, err := j.Folder.Create(next.name())
 	if err != nil {
@@ -115,26 +116,26 @@
 		}
 	}
 	j.file, j.active, j.size = file, next, 0
-	first := &encoder.JournalSegment{Number: number, Disk: j.disk, Base: j.base, Last: j.last, State: j.state.message()}
-	if err := j.write([]*encoder.JournalOperation{{Kind: &encoder.JournalOperation_Segment{Segment: first}}}); err != nil {
+	initial := &encoder.JournalSegment{Number: number, Disk: j.diskID, Base: j.base, Last: j.last, State: j.state.encode()}
+	if err := j.writeFrame([]*encoder.JournalOperation{{Kind: &encoder.JournalOperation_Segment{Segment: initial}}}); err != nil {
 		return err
 	}
-	j.fresh = true
+	j.activeEmpty = true
 	return errors.Wrap(j.Folder.Sync(), "sync data folder")
 }
 
-// roll starts a new segment when the active one is full.
-func (j *Journal) roll() error {
-	if j.fresh || j.size < j.SegmentSize {
+// rollSegment starts a new segment if the active one is full.
+func (j *Journal) rollSegment() error {
+	if j.activeEmpty || j.size < j.SegmentSize {
 		return nil
 	}
-	return j.begin(j.active.number + 1)
+	return j.startSegment(j.active.number + 1)
 }
 
-// removeCompacted removes the oldest segments that hold only compacted records.
+// removeCompacted removes the oldest segments as long as they hold only compacted records.
 func (j *Journal) removeCompacted() error {
 	removed := 0
-	for removed < len(j.sealed) && j.sealed[removed].highest <= j.base {
+	for removed < len(j.sealed) && j.sealed[removed].highestIndex <= j.base {
 		if err := j.Folder.Remove(j.sealed[removed].name()); err != nil {
 			return errors.Wrapf(err, "remove %s", j.sealed[removed].name())
 		}
--- a/state/journaler/journal_test.go
+++ b/state/journaler/journal_test.go
@@ -11,11 +11,11 @@
 	"pgregory.net/rapid"
 )
 
-const disk = 42
+const testDiskID = 42
 
-func open(t must.T, folder Folder, size int64) (*Journal, Content) {
+func openJournal(t must.T, folder Folder, size int64) (*Journal, Content) {
 	t.Helper()
-	journal := &Journal{Folder: folder, SegmentSize: size, DiskID: disk, Log: zerolog.Nop()}
+	journal := &Journal{Folder: folder, SegmentSize: size, DiskID: testDiskID, Log: zerolog.Nop()}
 	content, err := journal.Open()
 	must.NoError(t, err)
 	return journal, content
@@ -29,23 +29,23 @@
 	return appended
 }
 
-// mustHold asserts what a new process reads.
-func mustHold(t must.T, folder Folder, size int64, wanted Content) {
+// mustRecover asserts the content that a newly opened journal reads.
+func mustRecover(t must.T, folder Folder, size int64, wanted Content) {
 	t.Helper()
-	_, content := open(t, folder, size)
-	wanted.DiskID = disk
+	_, content := openJournal(t, folder, size)
+	wanted.DiskID = testDiskID
 	mustEqual(t, wanted, content)
 }
 
-func mustEqual(t must.T, wanted, content Content) {
+func mustEqual(t must.T, wanted, got Content) {
 	t.Helper()
-	if len(wanted.Records) == 0 && len(content.Records) == 0 {
-		wanted.Records, content.Records = nil, nil
+	if len(wanted.Records) == 0 && len(got.Records) == 0 {
+		wanted.Records, got.Records = nil, nil
 	}
-	must.Eq(t, wanted, content)
+	must.Eq(t, wanted, got)
 }
 
-// Guards against operations that take effect in memory but not when the log is read again.
+// Guards against operations that change the state in memory but are lost when the log is reopened.
 func TestOperationsAreReadAgain(t *testing.T) {
 	state := HardState{Term: 3, Vote: "a", VoteDisk: 9}
 	for name, test := range map[string]struct {
@@ -62,38 +62,38 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			folder := newFakeFolder()
-			journal, _ := open(t, folder, 1)
+			journal, _ := openJournal(t, folder, 1)
 			must.NoError(t, journal.Commit(test.operations...))
-			mustHold(t, folder.crash(0), 1, test.wanted)
+			mustRecover(t, folder.crash(0), 1, test.wanted)
 			must.NoError(t, journal.Close())
-			mustHold(t, folder, 1, test.wanted)
+			mustRecover(t, folder, 1, test.wanted)
 		})
 	}
 }
 
-// Guards against log entries that contradict each other after a fault in the caller.
+// Guards against a caller's bug that writes contradicting records, such as a gap in the indexes.
 func TestCommitRefusesOrder(t *testing.T) {
 	for name, operation := range map[string]Operation{
 		"gap": records(5, 5, 1), "truncate": Truncate{4}, "compacted": Truncate{1}, "compact": Compact{4}, "reset": Reset{0},
 		"size": Append{[]Record{{Index: 4, Data: make([]byte, MaxRecord+1)}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			journal, _ := open(t, newFakeFolder(), 0)
+			journal, _ := openJournal(t, newFakeFolder(), 0)
 			must.NoError(t, journal.Commit(records(1, 3, 1), Compact{1}))
 			must.ErrorIs(t, journal.Commit(operation), ErrOutOfOrder)
 		})
 	}
 }
 
-// Guards against a retry of a failed sync, which can report success for data the kernel has dropped.
+// Guards against a retry after a failed sync, which can succeed although the kernel has dropped the data.
 func TestFailureIsPermanent(t *testing.T) {
 	for name, fail := range map[string]func(*fakeFolder, error){
-		"sync":      func(f *fakeFolder, err error) { f.failSync = err },
-		"full disk": func(f *fakeFolder, err error) { f.failWrite = err },
+		"sync":      func(f *fakeFolder, err error) { f.syncErr = err },
+		"full disk": func(f *fakeFolder, err error) { f.writeErr = err },
 	} {
 		t.Run(name, func(t *testing.T) {
 			folder := newFakeFolder()
-			journal, _ := open(t, folder, 0)
+			journal, _ := openJournal(t, folder, 0)
 			must.NoError(t, journal.Commit(records(1, 1, 1)))
 			fail(folder, syscall.ENOSPC)
 			must.ErrorIs(t, journal.Commit(records(2, 2, 1)), syscall.ENOSPC)
@@ -102,13 +102,13 @@
 			must.ErrorIs(t, journal.Commit(records(3, 3, 1)), ErrFailed)
 			must.NoError(t, journal.Close())
 			must.Eq(t, syncs, folder.syncs)
-			mustHold(t, folder.crash(0), 0, Content{Records: records(1, 1, 1).Records})
-			mustHold(t, folder.crash(20), 0, Content{Records: records(1, 1, 1).Records})
+			mustRecover(t, folder.crash(0), 0, Content{Records: records(1, 1, 1).Records})
+			mustRecover(t, folder.crash(20), 0, Content{Records: records(1, 1, 1).Records})
 		})
 	}
 }
 
-// Guards against a folder that two processes write.
+// Guards against two processes that write to the same data folder.
 func TestDiskIsLocked(t *testing.T) {
 	path := t.TempDir()
 	first, err := OpenDisk(path)
@@ -118,18 +118,18 @@
 	must.NoError(t, first.Close())
 	second, err := OpenDisk(path)
 	must.NoError(t, err)
-	journal, _ := open(t, second, 1)
+	journal, _ := openJournal(t, second, 1)
 	must.NoError(t, journal.Commit(records(1, 2, 1)))
 	must.NoError(t, journal.Commit(records(3, 4, 1), Compact{3}))
 	must.NoError(t, journal.Close())
-	mustHold(t, second, 1, Content{Base: 3, Records: records(4, 4, 1).Records})
+	mustRecover(t, second, 1, Content{Base: 3, Records: records(4, 4, 1).Records})
 	must.NoError(t, second.Close())
 }
 
-// Guards against segments that stay for ever after compaction.
+// Guards against segments that are never removed after compaction.
 func TestCompactionRemovesSegments(t *testing.T) {
 	folder := newFakeFolder()
-	journal, _ := open(t, folder, 1)
+	journal, _ := openJournal(t, folder, 1)
 	for i := uint64(1); i <= 10; i++ {
 		must.NoError(t, journal.Commit(records(i, i, 1)))
 	}
@@ -138,50 +138,51 @@
 	must.Eq(t, 2, len(folder.files)) // record 10, and the compaction in a new segment
 	must.NoError(t, journal.Commit(records(11, 11, 1), Reset{50}))
 	must.Eq(t, 1, len(folder.files))
-	mustHold(t, folder, 1, Content{Base: 50})
+	mustRecover(t, folder, 1, Content{Base: 50})
 }
 
-// filled returns a closed folder and what it holds after each commit.
-func filled(t must.T, size int64) (*fakeFolder, []Content) {
+// populatedFolder returns the folder of a closed journal and the content after each commit.
+func populatedFolder(t must.T, size int64) (*fakeFolder, []Content) {
 	folder := newFakeFolder()
-	journal, content := open(t, folder, size)
+	journal, content := openJournal(t, folder, size)
 	contents := []Content{content}
 	for _, operations := range [][]Operation{
 		{records(1, 2, 1), Persist{HardState{Term: 1, Vote: "a"}}}, {records(3, 4, 1)}, {Truncate{4}, records(4, 5, 2)}, {Compact{1}},
 	} {
 		must.NoError(t, journal.Commit(operations...))
-		_, content := open(t, folder.crash(0), size)
+		_, content := openJournal(t, folder.crash(0), size)
 		contents = append(contents, content)
 	}
 	must.NoError(t, journal.Close())
 	return folder, contents
 }
 
-// Guards against damage that is read as content or cut as a torn tail.
+// Guards against corruption of synced data that Open returns as content or truncates as a torn
+// tail. Each byte of each file is damaged in turn.
 func TestDamageIsRefused(t *testing.T) {
 	for name, size := range map[string]int64{"one segment": 0, "many segments": 1} {
 		t.Run(name, func(t *testing.T) {
-			folder, contents := filled(t, size)
+			folder, contents := populatedFolder(t, size)
 			for file := range folder.files {
-				for at := range folder.files[file].data {
+				for offset := range folder.files[file].data {
 					damaged := folder.crash(0)
-					damaged.files[file].data[at] ^= 0x10
+					damaged.files[file].data[offset] ^= 0x10
 					journal := &Journal{Folder: damaged, Log: zerolog.Nop()}
 					content, err := journal.Open()
 					if err == nil {
-						// Only the empty frame that Close wrote may be cut.
+						// Only the empty frame that Close wrote may be truncated.
 						mustEqual(t, contents[len(contents)-1], content)
 						continue
 					}
-					var damage *CorruptionError
-					must.True(t, errors.As(err, &damage))
+					var corruption *CorruptionError
+					must.True(t, errors.As(err, &corruption))
 					must.ErrorContains(t, err, ".journal is damaged at offset ")
 				}
 			}
 		})
 	}
 	t.Run("missing segment", func(t *testing.T) {
-		folder, _ := filled(t, 1)
+		folder, _ := populatedFolder(t, 1)
 		must.MapContainsKey(t, folder.files, segment{number: 4}.name())
 		delete(folder.files, segment{number: 3}.name())
 		_, err := (&Journal{Folder: folder, Log: zerolog.Nop()}).Open()
@@ -189,45 +190,46 @@
 	})
 }
 
-// Guards against a torn tail that prevents the start, loses a synced frame or is not logged.
+// Guards against an interrupted write that makes Open fail, loses a synced frame or is truncated
+// without a log line.
 func TestTornTailIsCut(t *testing.T) {
-	folder, contents := filled(t, 0)
+	folder, contents := populatedFolder(t, 0)
 	name := segment{number: 1}.name()
-	found := 0
+	matched := 0
 	for size := range folder.files[name].data {
 		torn := folder.crash(0)
 		torn.files[name].data = torn.files[name].data[:size]
 		var log bytes.Buffer
-		journal := &Journal{Folder: torn, DiskID: disk, Log: zerolog.New(&log)}
+		journal := &Journal{Folder: torn, DiskID: testDiskID, Log: zerolog.New(&log)}
 		content, err := journal.Open()
 		must.NoError(t, err)
-		for found < len(contents)-1 && !same(contents[found], content) {
-			found++
+		for matched < len(contents)-1 && !sameState(contents[matched], content) {
+			matched++
 		}
-		mustEqual(t, contents[found], content)
+		mustEqual(t, contents[matched], content)
 		must.NoError(t, journal.Commit(records(journal.Last()+1, journal.Last()+1, 9)))
-		_, again := open(t, torn.crash(0), 0)
-		must.Eq(t, len(content.Records)+1, len(again.Records))
+		_, reopened := openJournal(t, torn.crash(0), 0)
+		must.Eq(t, len(content.Records)+1, len(reopened.Records))
 		if log.Len() > 0 {
 			must.StrContains(t, log.String(), "cut the torn tail")
 		}
 	}
-	must.Eq(t, len(contents)-1, found)
+	must.Eq(t, len(contents)-1, matched)
 }
 
-func same(a, b Content) bool {
+func sameState(a, b Content) bool {
 	return a.State == b.State && a.Base == b.Base && len(a.Records) == len(b.Records) &&
 		(len(a.Records) == 0 || a.Records[len(a.Records)-1].Term == b.Records[len(b.Records)-1].Term)
 }
 
-// model is the journal as the documentation describes it.
+// model is a reference implementation that keeps the expected content in memory.
 type model struct {
 	Content
 }
 
 func (m model) last() uint64 { return m.Base + uint64(len(m.Records)) }
 
-func (m *model) draw(t *rapid.T) Operation {
+func (m *model) drawOperation(t *rapid.T) Operation {
 	switch rapid.IntRange(0, 9).Draw(t, "operation") {
 	case 0:
 		m.State = HardState{Term: rapid.Uint64().Draw(t, "term"), Vote: rapid.String().Draw(t, "vote")}
@@ -253,18 +255,18 @@
 	return added
 }
 
-// Guards against sequences of operations, restarts and crashes after which the log differs from
-// what was committed.
+// Guards against a log that differs from the committed operations after a sequence of commits,
+// restarts and crashes.
 func TestLogEqualsModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.SampledFrom([]int64{1, 200, 0}).Draw(t, "segment size")
 		folder := newFakeFolder()
-		journal, _ := open(t, folder, size)
-		m := &model{Content{DiskID: disk}}
+		journal, _ := openJournal(t, folder, size)
+		m := &model{Content{DiskID: testDiskID}}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			var operations []Operation
 			for range rapid.IntRange(1, 4).Draw(t, "operations") {
-				operations = append(operations, m.draw(t))
+				operations = append(operations, m.drawOperation(t))
 			}
 			must.NoError(t, journal.Commit(operations...))
 			switch rapid.IntRange(0, 5).Draw(t, "restart") {
@@ -276,9 +278,9 @@
 				continue
 			}
 			var content Content
-			journal, content = open(t, folder, size)
+			journal, content = openJournal(t, folder, size)
 			mustEqual(t, m.Content, content)
 		}
-		mustHold(t, folder.crash(0), size, m.Content)
+		mustRecover(t, folder.crash(0), size, m.Content)
 	})
 }
--- a/state/journaler/open.go
+++ b/state/journaler/open.go
@@ -8,59 +8,59 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Open reads the whole log and prepares the journal for Commit. It returns a *Damage for
-// content that differs from what was synced.
+// Open reads the whole log and prepares the journal for Commit. It returns a *CorruptionError
+// if the content differs from what was synced.
 func (j *Journal) Open() (Content, error) {
 	if j.SegmentSize <= 0 {
 		j.SegmentSize = DefaultSegmentSize
 	}
-	segments, err := j.segments()
+	segments, err := j.listSegments()
 	if err != nil {
 		return Content{}, err
 	}
 	r := &replay{}
-	j.frame = 1
+	j.nextFrame = 1
 	for i := range segments {
-		if err := j.read(&segments[i], r, i == 0, i == len(segments)-1); err != nil {
+		if err := j.replaySegment(&segments[i], r, i == 0, i == len(segments)-1); err != nil {
 			return Content{}, err
 		}
 	}
-	if !r.begun {
-		j.disk = j.DiskID
-		if err := j.begin(1); err != nil {
+	if !r.started {
+		j.diskID = j.DiskID
+		if err := j.startSegment(1); err != nil {
 			return Content{}, j.fail(err)
 		}
-		return Content{DiskID: j.disk}, nil
+		return Content{DiskID: j.diskID}, nil
 	}
-	if cause := r.missing(); cause != "" {
+	if cause := r.findMissing(); cause != "" {
 		return Content{}, &CorruptionError{File: segments[0].name(), Cause: cause}
 	}
-	return r.content, j.resume(r)
+	return r.content, j.restore(r)
 }
 
-// segments returns the files of the log and refuses a gap in their numbers.
-func (j *Journal) segments() ([]segment, error) {
+// listSegments returns the segments of the folder. A gap in their numbers is an error.
+func (j *Journal) listSegments() ([]segment, error) {
 	names, err := j.Folder.Names()
 	if err != nil {
 		return nil, errors.Wrap(err, "list data folder")
 	}
 	var segments []segment
 	for _, name := range names {
-		next, ok := parseSegment(name)
+		parsed, ok := parseSegment(name)
 		if !ok {
 			continue
 		}
-		if n := len(segments); n > 0 && segments[n-1].number+1 != next.number {
+		if n := len(segments); n > 0 && segments[n-1].number+1 != parsed.number {
 			cause := fmt.Sprintf("segment %d is missing", segments[n-1].number+1)
 			return nil, &CorruptionError{File: segments[n-1].name(), Cause: cause}
 		}
-		segments = append(segments, next)
+		segments = append(segments, parsed)
 	}
 	return segments, nil
 }
 
-// read replays one segment. Only the last segment may have a torn tail.
-func (j *Journal) read(s *segment, r *replay, first, last bool) error {
+// replaySegment replays one segment. Only the last segment may have a torn tail.
+func (j *Journal) replaySegment(s *segment, r *replay, first, last bool) error {
 	file, err := j.Folder.Open(s.name())
 	if err != nil {
 		return errors.Wrapf(err, "open %s", s.name())
@@ -70,42 +70,43 @@
 		file.Close()
 		return errors.Wrapf(err, "size of %s", s.name())
 	}
-	offset, cause, err := j.frames(file, s, r, first, size)
+	offset, cause, err := j.replayFrames(file, s, r, first, size)
 	if err != nil {
 		file.Close()
 		return err
 	}
-	// A segment whose predecessors are removed was durable before they were.
+	// Segments are removed only once a later one is durable, so the initial frame of the first
+	// remaining segment cannot be torn.
 	if cause != "" && (!last || first && offset == 0 && s.number > 1) {
 		file.Close()
 		return &CorruptionError{File: s.name(), Offset: offset, Cause: cause}
 	}
 	if cause != "" {
-		if err := j.cut(file, s, offset, size, cause); err != nil {
+		if err := j.truncateTornTail(file, s, offset, size, cause); err != nil {
 			file.Close()
 			return err
 		}
 	}
 	if offset == 0 {
-		return j.discard(file, s)
+		return j.removeIncomplete(file, s)
 	}
-	return j.keep(file, s, offset)
+	return j.activate(file, s, offset)
 }
 
-// frames replays frames until the end of the file or the first one that is not valid, and
-// returns its offset and what is wrong with it.
-func (j *Journal) frames(file File, s *segment, r *replay, first bool, size int64) (int64, string, error) {
+// replayFrames replays frames until the end of the file or the first invalid frame. It returns
+// the offset where it stopped and why the frame there is invalid.
+func (j *Journal) replayFrames(file File, s *segment, r *replay, first bool, size int64) (int64, string, error) {
 	reader := bufio.NewReaderSize(file, 1<<16)
 	var offset int64
 	for offset < size {
 		if first && offset == 0 {
 			if raw, err := reader.Peek(headerSize); err == nil {
 				if h, ok := parseHeader(raw); ok {
-					j.frame = h.number // earlier segments are removed
+					j.nextFrame = h.number // not 1 when earlier segments were removed
 				}
 			}
 		}
-		operations, length, cause, err := readFrame(reader, j.frame)
+		operations, length, cause, err := readFrame(reader, j.nextFrame)
 		if err != nil {
 			return 0, "", errors.Wrapf(err, "read %s at offset %d", s.name(), offset)
 		}
@@ -116,13 +117,13 @@
 			if (i == 0 && offset == 0) != (operation.GetSegment() != nil) {
 				return 0, "", &CorruptionError{File: s.name(), Offset: offset, Cause: "expected a segment operation first and only there"}
 			}
-			// The checksum is right, so this is not a torn write.
+			// The checksum matches, so an invalid operation is not a torn write.
 			if cause := r.apply(operation, s); cause != "" {
 				return 0, "", &CorruptionError{File: s.name(), Offset: offset, Cause: cause}
 			}
 		}
 		offset += length
-		j.frame++
+		j.nextFrame++
 	}
 	if size == 0 {
 		return 0, "the file is empty", nil
@@ -130,9 +131,10 @@
 	return offset, "", nil
 }
 
-// cut removes a torn tail, unless a later frame proves that the damaged one was synced.
-func (j *Journal) cut(file File, s *segment, offset, size int64, cause string) error {
-	later, err := laterFrame(bufio.NewReader(io.NewSectionReader(file, offset+1, size-offset-1)), j.frame)
+// truncateTornTail truncates the file at offset. If a later frame follows, the invalid frame was
+// synced, and a *CorruptionError is returned instead.
+func (j *Journal) truncateTornTail(file File, s *segment, offset, size int64, cause string) error {
+	later, err := containsLaterFrame(bufio.NewReader(io.NewSectionReader(file, offset+1, size-offset-1)), j.nextFrame)
 	if err != nil {
 		return errors.Wrapf(err, "read %s after offset %d", s.name(), offset)
 	}
@@ -147,8 +149,8 @@
 	return errors.Wrapf(file.Sync(), "sync %s", s.name())
 }
 
-// discard removes a segment whose creation was interrupted.
-func (j *Journal) discard(file File, s *segment) error {
+// removeIncomplete removes a segment whose creation was interrupted by a crash.
+func (j *Journal) removeIncomplete(file File, s *segment) error {
 	file.Close()
 	if err := j.Folder.Remove(s.name()); err != nil {
 		return errors.Wrapf(err, "remove %s", s.name())
@@ -156,8 +158,8 @@
 	return errors.Wrap(j.Folder.Sync(), "sync data folder")
 }
 
-// keep records the segment; the last one that is kept becomes the active one.
-func (j *Journal) keep(file File, s *segment, size int64) error {
+// activate makes the segment the active one and seals the previous active segment.
+func (j *Journal) activate(file File, s *segment, size int64) error {
 	if j.file != nil {
 		j.sealed = append(j.sealed, j.active)
 		if err := j.file.Close(); err != nil {
@@ -168,8 +170,8 @@
 	return nil
 }
 
-// resume takes over the replayed state.
-func (j *Journal) resume(r *replay) error {
-	j.disk, j.state, j.base, j.last = r.content.DiskID, r.content.State, r.content.Base, r.last
+// restore initializes the journal from the replayed state.
+func (j *Journal) restore(r *replay) error {
+	j.diskID, j.state, j.base, j.last = r.content.DiskID, r.content.State, r.content.Base, r.last
 	return j.removeCompacted()
 }
--- a/state/journaler/operation.go
+++ b/state/journaler/operation.go
@@ -1,4 +1,4 @@
 package journaler
 
-// Operation is one change of the log: Append, Truncate, Persist, Reset or Compact.
+// Operation is one change to the log: Append, Truncate, Persist, Reset or Compact.
 type Operation interface{ operation() }
--- a/state/journaler/request.go
+++ b/state/journaler/request.go
@@ -1,7 +1,7 @@
 package journaler
 
-// Request is one operation with the number under which its sync is reported.
+// Request is one operation to commit.
 type Request struct {
-	Write     uint64 // ascending; 0 for an operation that needs no report
+	Write     uint64 // ascending number that is reported once the operation is durable; 0 for no report
 	Operation Operation
 }
--- a/state/journaler/reset.go
+++ b/state/journaler/reset.go
@@ -1,7 +1,7 @@
 package journaler
 
-// Reset removes every record; the next one has index Index+1. It follows the installation of a
-// snapshot that ends at Index.
+// Reset removes all records, so that the next record has index Index+1. It is used after the
+// installation of a snapshot that ends at Index.
 type Reset struct {
 	Index uint64
 }
--- a/state/journaler/segment.go
+++ b/state/journaler/segment.go
@@ -10,13 +10,13 @@
 
 // segment is one file of the log.
 type segment struct {
-	number  uint64
-	highest uint64 // index of any record ever written to it; 0 when it holds none that is needed
+	number       uint64
+	highestIndex uint64 // highest index of a record ever written to the file; 0 if the file is no longer needed
 }
 
 func (s segment) name() string { return fmt.Sprintf("%016d%s", s.number, segmentSuffix) }
 
-// parseSegment returns false for other files of the folder.
+// parseSegment parses a file name. It returns false if the file is not a segment.
 func parseSegment(name string) (segment, bool) {
 	digits, ok := strings.CutSuffix(name, segmentSuffix)
 	if !ok || len(digits) != 16 {
--- a/state/journaler/syncer.go
+++ b/state/journaler/syncer.go
@@ -6,17 +6,17 @@
 	"oleandertally/core/looper"
 )
 
-// Syncer commits requests on a goroutine of its own. Everything that waits while one sync runs
-// shares the next one. Fields are set before Run.
+// Syncer commits queued requests to the journal. Requests that arrive during a sync share the
+// next one (group commit). Fields are set before Run.
 type Syncer struct {
 	Journal *Journal
-	// Report is told the number of the last request that survives a crash, on the goroutine of Run.
+	// Report is called on the goroutine of Run with the Write number of the last durable request.
 	Report func(write uint64)
 	Queue  *looper.Outbox[Request]
 }
 
-// Run returns the context's error when ctx ends and ErrFailed when the journal fails; the
-// process must stop then. Requests that were not reported may or may not survive.
+// Run commits requests until ctx ends and returns its error. It returns ErrFailed if the journal
+// fails; the process must then stop. Unreported requests may or may not be durable.
 func (s *Syncer) Run(ctx context.Context) error {
 	for {
 		requests, err := s.Queue.Take(ctx)
--- a/state/journaler/truncate.go
+++ b/state/journaler/truncate.go
@@ -1,6 +1,6 @@
 package journaler
 
-// Truncate removes the record at From and all later ones.
+// Truncate removes all records from index From on.
 type Truncate struct {
 	From uint64
 }
