--- a/state/journaler/hardstate.go
+++ b/state/journaler/hardstate.go
@@ -2,7 +2,7 @@
 
 import "oleandertally/core/encoder"
 
-// HardState is the election state of a Raft server that must survive a restart.
+// HardState is the election state of a consensus server that must survive a restart.
 type HardState struct {
 	Term     uint64
 	Vote     string // name of the server that got the vote in Term; empty if none did
--- a/state/snapshotter/chunk.go
+++ b/state/snapshotter/chunk.go
@@ -1,6 +1,6 @@
 package snapshotter
 
-// Chunk is a part of a snapshot file on its way to another controller.
+// Chunk is a part of a snapshot file that is sent to another controller.
 type Chunk struct {
 	Offset int64
 	Data   []byte // at most MaxChunk bytes
--- a/state/snapshotter/faultyfolder_test.go
+++ b/state/snapshotter/faultyfolder_test.go
@@ -6,22 +6,22 @@
 	"oleandertally/state/journaler"
 )
 
-// faultyFolder fails one operation of a real data folder: the one at which left reaches zero.
+// faultyFolder wraps a data folder and fails the operation at which operationsLeft reaches zero.
 type faultyFolder struct {
 	journaler.Folder
-	left int
+	operationsLeft int
 }
 
-func (f *faultyFolder) fail() error {
-	f.left--
-	if f.left == 0 {
+func (f *faultyFolder) injectFault() error {
+	f.operationsLeft--
+	if f.operationsLeft == 0 {
 		return syscall.EIO
 	}
 	return nil
 }
 
 func (f *faultyFolder) Create(name string) (journaler.File, error) {
-	if err := f.fail(); err != nil {
+	if err := f.injectFault(); err != nil {
 		return nil, err
 	}
 	file, err := f.Folder.Create(name)
@@ -29,21 +29,21 @@
 }
 
 func (f *faultyFolder) Rename(from, to string) error {
-	if err := f.fail(); err != nil {
+	if err := f.injectFault(); err != nil {
 		return err
 	}
 	return f.Folder.Rename(from, to)
 }
 
 func (f *faultyFolder) Remove(name string) error {
-	if err := f.fail(); err != nil {
+	if err := f.injectFault(); err != nil {
 		return err
 	}
 	return f.Folder.Remove(name)
 }
 
 func (f *faultyFolder) Sync() error {
-	if err := f.fail(); err != nil {
+	if err := f.injectFault(); err != nil {
 		return err
 	}
 	return f.Folder.Sync()
@@ -55,7 +55,7 @@
 }
 
 func (f *faultyFile) Write(p []byte) (int, error) {
-	if err := f.folder.fail(); err != nil {
+	if err := f.folder.injectFault(); err != nil {
 		n, _ := f.File.Write(p[:len(p)/2])
 		return n, err
 	}
@@ -63,7 +63,7 @@
 }
 
 func (f *faultyFile) Sync() error {
-	if err := f.folder.fail(); err != nil {
+	if err := f.folder.injectFault(); err != nil {
 		return err
 	}
 	return f.File.Sync()
--- a/state/snapshotter/receiver.go
+++ b/state/snapshotter/receiver.go
@@ -8,35 +8,35 @@
 	"oleandertally/state/journaler"
 )
 
-const receivedName = "transfer" + received
+const receivedFileName = "transfer" + receivedSuffix
 
-// Receiver stores a snapshot that another controller sends. The file takes part in Newest only
-// after Install, so that a transfer that consensus rejects leaves no trace.
+// Receiver stores a snapshot that another controller sends. Newest ignores the file until
+// Install, because consensus may still reject the snapshot.
 type Receiver struct {
-	store *Store
-	file  journaler.File
-	next  int64
-	meta  *Meta
+	store      *Store
+	file       journaler.File
+	nextOffset int64 // expected offset of the next chunk
+	meta       *Meta // set once the whole file is received and valid
 }
 
-// Receive begins a transfer and drops an earlier one that was not installed.
+// Receive starts a transfer and overwrites an earlier one that was not installed.
 func (s *Store) Receive() (*Receiver, error) {
-	file, err := s.Folder.Create(receivedName)
+	file, err := s.Folder.Create(receivedFileName)
 	if err != nil {
 		return nil, errors.Wrap(err, "create received snapshot")
 	}
 	return &Receiver{store: s, file: file}, nil
 }
 
-// Add stores the next chunk. After the last one it syncs the file, checks all of it and returns
-// its description; before that it returns nil. ErrTransfer means that the transfer must begin
-// again; every other error is of the disk.
+// Add stores the next chunk and returns nil. After the last chunk it syncs and validates the file
+// and returns the Meta of the snapshot. ErrTransfer means that the transfer must be restarted; every
+// other error is an I/O error.
 func (r *Receiver) Add(chunk Chunk) (*Meta, error) {
 	switch end := chunk.Offset + int64(len(chunk.Data)); {
 	case r.meta != nil:
 		return nil, errors.Wrap(ErrTransfer, "a chunk follows the last one")
-	case chunk.Offset != r.next:
-		return nil, errors.Wrapf(ErrTransfer, "chunk at offset %d, expected %d", chunk.Offset, r.next)
+	case chunk.Offset != r.nextOffset:
+		return nil, errors.Wrapf(ErrTransfer, "chunk at offset %d, expected %d", chunk.Offset, r.nextOffset)
 	case len(chunk.Data) == 0 || len(chunk.Data) > MaxChunk:
 		return nil, errors.Wrapf(ErrTransfer, "chunk has %d bytes, expected 1 to %d", len(chunk.Data), MaxChunk)
 	case end > MaxSize:
@@ -45,7 +45,7 @@
 	if _, err := r.file.Write(chunk.Data); err != nil {
 		return nil, errors.Wrap(err, "write received snapshot")
 	}
-	r.next += int64(len(chunk.Data))
+	r.nextOffset += int64(len(chunk.Data))
 	if !chunk.Last {
 		return nil, nil
 	}
@@ -56,7 +56,7 @@
 	if err := r.file.Sync(); err != nil {
 		return nil, errors.Wrap(err, "sync received snapshot")
 	}
-	snapshot, cause, err := check(r.file)
+	snapshot, cause, err := validate(r.file)
 	if err != nil {
 		return nil, err
 	}
@@ -67,9 +67,9 @@
 	return r.meta, nil
 }
 
-// Content returns the body of the received snapshot, after Add returned its description.
+// Content returns the body of the received snapshot. It may be called once Add has returned a Meta.
 func (r *Receiver) Content() ([]byte, error) {
-	snapshot, cause, err := check(r.file)
+	snapshot, cause, err := validate(r.file)
 	if err != nil {
 		return nil, err
 	}
@@ -80,8 +80,8 @@
 	return content, errors.Wrap(err, "read received snapshot")
 }
 
-// Install makes the received snapshot the newest one and returns once it survives a crash.
-// It is called once, after Add returned a description.
+// Install adds the received snapshot to the store, removes earlier ones and returns once this is
+// durable. It is called once, after Add has returned a Meta.
 func (r *Receiver) Install() error {
 	if r.meta == nil {
 		return errors.Wrap(ErrTransfer, "the transfer is not complete")
@@ -89,11 +89,11 @@
 	if err := r.file.Close(); err != nil {
 		return errors.Wrap(err, "close received snapshot")
 	}
-	return r.store.publish(receivedName, r.meta.Index)
+	return r.store.publish(receivedFileName, r.meta.Index)
 }
 
-// Drop removes what was received.
+// Drop aborts the transfer and removes the received data.
 func (r *Receiver) Drop() error {
 	r.file.Close()
-	return errors.Wrap(r.store.Folder.Remove(receivedName), "remove received snapshot")
+	return errors.Wrap(r.store.Folder.Remove(receivedFileName), "remove received snapshot")
 }
--- a/state/snapshotter/snapshot.go
+++ b/state/snapshotter/snapshot.go
@@ -13,21 +13,21 @@
 	"oleandertally/state/journaler"
 )
 
-// Snapshot is an open, valid snapshot file. It stays readable after newer ones replace it.
+// Snapshot is an open, validated snapshot file. It stays readable after a newer snapshot replaces it.
 type Snapshot struct {
 	Meta Meta
-	Size int64 // of the file, in bytes
+	Size int64 // size of the file, in bytes
 
-	file  journaler.File
-	start int64 // of the body
+	file      journaler.File
+	bodyStart int64 // offset of the body in the file
 }
 
-// Body returns a new reader of what Save was given.
+// Body returns a new reader of the content that was passed to Save.
 func (s *Snapshot) Body() io.Reader {
-	return io.NewSectionReader(s.file, s.start, s.Size-trailerSize-s.start)
+	return io.NewSectionReader(s.file, s.bodyStart, s.Size-trailerSize-s.bodyStart)
 }
 
-// Chunk returns the part of the file at offset for a transfer.
+// Chunk returns the part of the file that starts at offset.
 func (s *Snapshot) Chunk(offset int64) (Chunk, error) {
 	if offset < 0 || offset >= s.Size {
 		return Chunk{}, errors.Wrapf(ErrTransfer, "offset %d in a file of %d bytes", offset, s.Size)
@@ -42,13 +42,13 @@
 // Close closes the file.
 func (s *Snapshot) Close() error { return s.file.Close() }
 
-// open checks the whole file before it returns it.
-func open(folder journaler.Folder, name string) (*Snapshot, error) {
+// openSnapshot opens and validates a snapshot file.
+func openSnapshot(folder journaler.Folder, name string) (*Snapshot, error) {
 	file, err := folder.Open(name)
 	if err != nil {
 		return nil, errors.Wrapf(err, "open %s", name)
 	}
-	snapshot, cause, err := check(file)
+	snapshot, cause, err := validate(file)
 	if err == nil && cause != "" {
 		err = &journaler.CorruptionError{File: name, Cause: cause}
 	}
@@ -59,21 +59,22 @@
 	return snapshot, nil
 }
 
-// check returns what is wrong with the content, or an error of the disk.
-func check(file journaler.File) (*Snapshot, string, error) {
+// validate reads the whole file and checks it. It returns why the content is invalid as a string,
+// and I/O errors as an error.
+func validate(file journaler.File) (*Snapshot, string, error) {
 	size, err := file.Size()
 	if err != nil {
 		return nil, "", errors.Wrap(err, "size of snapshot")
 	}
-	prefix := int64(len(magic) + 4)
-	if size < prefix+trailerSize {
-		return nil, fmt.Sprintf("it has %d bytes, expected at least %d", size, prefix+trailerSize), nil
+	prefixSize := int64(len(magic) + 4)
+	if size < prefixSize+trailerSize {
+		return nil, fmt.Sprintf("it has %d bytes, expected at least %d", size, prefixSize+trailerSize), nil
 	}
-	sum, err := sumOf(file, size)
+	actualSum, err := checksum(file, size)
 	if err != nil {
 		return nil, "", err
 	}
-	head, err := readAt(file, 0, prefix)
+	prefix, err := readAt(file, 0, prefixSize)
 	if err != nil {
 		return nil, "", err
 	}
@@ -81,17 +82,17 @@
 	if err != nil {
 		return nil, "", err
 	}
-	length := int64(binary.LittleEndian.Uint32(head[len(magic):]))
-	body := binary.LittleEndian.Uint64(trailer)
+	length := int64(binary.LittleEndian.Uint32(prefix[len(magic):]))
+	bodySize := binary.LittleEndian.Uint64(trailer)
 	switch {
-	case string(head[:len(magic)]) != magic:
+	case string(prefix[:len(magic)]) != magic:
 		return nil, "it does not begin as a snapshot", nil
-	case sum != binary.LittleEndian.Uint64(trailer[8:]):
+	case actualSum != binary.LittleEndian.Uint64(trailer[8:]):
 		return nil, "its checksum differs", nil
-	case length > 2*MaxExtra || prefix+length > size-trailerSize || body != uint64(size-trailerSize-prefix-length):
+	case length > 2*MaxExtra || prefixSize+length > size-trailerSize || bodySize != uint64(size-trailerSize-prefixSize-length):
 		return nil, "its lengths do not fit its size", nil
 	}
-	raw, err := readAt(file, prefix, length)
+	raw, err := readAt(file, prefixSize, length)
 	if err != nil {
 		return nil, "", err
 	}
@@ -100,10 +101,10 @@
 		return nil, "its header is not a SnapshotHeader message", nil
 	}
 	meta := Meta{Index: header.Index, Term: header.Term, Extra: header.Extra}
-	return &Snapshot{Meta: meta, Size: size, file: file, start: prefix + length}, "", nil
+	return &Snapshot{Meta: meta, Size: size, file: file, bodyStart: prefixSize + length}, "", nil
 }
 
-func sumOf(file journaler.File, size int64) (uint64, error) {
+func checksum(file journaler.File, size int64) (uint64, error) {
 	hash := xxhash.New()
 	if _, err := io.CopyBuffer(hash, io.NewSectionReader(file, 0, size-8), make([]byte, MaxChunk)); err != nil {
 		return 0, errors.Wrap(err, "read snapshot")
@@ -112,9 +113,9 @@
 }
 
 func readAt(file journaler.File, offset, size int64) ([]byte, error) {
-	raw := make([]byte, size)
-	if _, err := file.ReadAt(raw, offset); err != nil && err != io.EOF {
+	data := make([]byte, size)
+	if _, err := file.ReadAt(data, offset); err != nil && err != io.EOF {
 		return nil, errors.Wrap(err, "read snapshot")
 	}
-	return raw, nil
+	return data, nil
 }
--- a/state/snapshotter/store.go
+++ b/state/snapshotter/store.go
@@ -15,27 +15,27 @@
 )
 
 const (
-	suffix   = ".snapshot"
-	saving   = ".saving"   // written here; removed at the next start
-	received = ".received" // from another controller, until it is installed
+	snapshotSuffix = ".snapshot"
+	savingSuffix   = ".saving"   // temporary file of an unfinished Save; Clean removes it
+	receivedSuffix = ".received" // file of a Receiver before Install; Clean removes it
 )
 
-// Store holds the snapshots of one data folder. At most one Save and one Receiver are used at a time.
+// Store manages the snapshots of one data folder. At most one Save and one Receiver may be active at a time.
 type Store struct {
 	Folder journaler.Folder
 	Log    zerolog.Logger
 }
 
-func fileName(index uint64) string { return fmt.Sprintf("%016x%s", index, suffix) }
+func fileName(index uint64) string { return fmt.Sprintf("%016x%s", index, snapshotSuffix) }
 
-// Clean removes what an interrupted Save or transfer left. It is called once, before other methods.
+// Clean removes the files of an interrupted Save or transfer. It is called once, before other methods.
 func (s *Store) Clean() error {
 	names, err := s.Folder.Names()
 	if err != nil {
 		return errors.Wrap(err, "list data folder")
 	}
 	for _, name := range names {
-		if strings.HasSuffix(name, saving) || strings.HasSuffix(name, received) {
+		if strings.HasSuffix(name, savingSuffix) || strings.HasSuffix(name, receivedSuffix) {
 			if err := s.Folder.Remove(name); err != nil {
 				return errors.Wrapf(err, "remove %s", name)
 			}
@@ -44,17 +44,17 @@
 	return nil
 }
 
-// Newest opens the newest valid snapshot; the caller closes it. It returns ErrNone when there
-// is no file and a *journaler.Damage when no file is valid. A caller that gets an older
-// snapshot than the journal continues from must refuse to start.
+// Newest opens the newest valid snapshot, which must be closed after use. It returns ErrNoSnapshot
+// if there is no file and a *journaler.CorruptionError if no file is valid. If the snapshot
+// ends before the base of the journal, the process must refuse to start.
 func (s *Store) Newest() (*Snapshot, error) {
 	indexes, err := s.indexes()
 	if err != nil {
 		return nil, err
 	}
-	var damage *journaler.CorruptionError
+	var corruption *journaler.CorruptionError
 	for _, index := range slices.Backward(indexes) {
-		snapshot, err := open(s.Folder, fileName(index))
+		snapshot, err := openSnapshot(s.Folder, fileName(index))
 		if err == nil && snapshot.Meta.Index != index {
 			snapshot.Close()
 			err = &journaler.CorruptionError{File: fileName(index), Cause: fmt.Sprintf("it covers index %d", snapshot.Meta.Index)}
@@ -62,45 +62,45 @@
 		if err == nil {
 			return snapshot, nil
 		}
-		if !errors.As(err, &damage) {
+		if !errors.As(err, &corruption) {
 			return nil, err
 		}
 		s.Log.Error().Err(err).Msg("snapshot is not valid, trying an older one")
 	}
-	if damage != nil {
-		return nil, damage
+	if corruption != nil {
+		return nil, corruption
 	}
 	return nil, ErrNoSnapshot
 }
 
-// Save stores what write writes as the snapshot of meta and returns once it survives a crash.
-// Earlier snapshots are removed then; a reader that holds one open can finish.
+// Save stores the output of write as the body of a snapshot and returns once it is durable. It
+// then removes earlier snapshots; open ones stay readable.
 func (s *Store) Save(meta Meta, write func(io.Writer) error) error {
 	if len(meta.Extra) > MaxExtra {
 		return errors.Newf("extra has %d bytes, expected at most %d", len(meta.Extra), MaxExtra)
 	}
 	name := fileName(meta.Index)
-	if err := s.fill(name+saving, meta, write); err != nil {
+	if err := s.writeFile(name+savingSuffix, meta, write); err != nil {
 		return errors.Wrapf(err, "save %s", name)
 	}
-	return s.publish(name+saving, meta.Index)
+	return s.publish(name+savingSuffix, meta.Index)
 }
 
-func (s *Store) fill(name string, meta Meta, write func(io.Writer) error) error {
+func (s *Store) writeFile(name string, meta Meta, write func(io.Writer) error) error {
 	file, err := s.Folder.Create(name)
 	if err != nil {
 		return err
 	}
 	defer file.Close()
 	buffer := bufio.NewWriterSize(file, MaxChunk)
-	sum := newSummer(buffer)
-	if err := sum.begin(meta); err != nil {
+	checksummed := newChecksumWriter(buffer)
+	if err := checksummed.writeHeader(meta); err != nil {
 		return err
 	}
-	if err := write(sum); err != nil {
+	if err := write(checksummed); err != nil {
 		return err
 	}
-	if err := sum.end(); err != nil {
+	if err := checksummed.writeTrailer(); err != nil {
 		return err
 	}
 	if err := buffer.Flush(); err != nil {
@@ -109,7 +109,7 @@
 	return file.Sync()
 }
 
-// publish renames a synced file to its final name and then removes earlier snapshots.
+// publish renames a synced file to its final name and removes earlier snapshots once the rename is durable.
 func (s *Store) publish(name string, index uint64) error {
 	if err := s.Folder.Rename(name, fileName(index)); err != nil {
 		return errors.Wrapf(err, "rename %s", name)
@@ -139,7 +139,7 @@
 	}
 	var indexes []uint64
 	for _, name := range names {
-		digits, ok := strings.CutSuffix(name, suffix)
+		digits, ok := strings.CutSuffix(name, snapshotSuffix)
 		index, err := strconv.ParseUint(digits, 16, 64)
 		if ok && err == nil && fileName(index) == name {
 			indexes = append(indexes, index)
--- a/state/snapshotter/store_test.go
+++ b/state/snapshotter/store_test.go
@@ -30,8 +30,8 @@
 	})
 }
 
-// mustHold asserts what a new process reads.
-func mustHold(t *testing.T, store *Store, index uint64, body []byte) {
+// mustLoad asserts the newest snapshot that a new process finds.
+func mustLoad(t *testing.T, store *Store, index uint64, body []byte) {
 	t.Helper()
 	must.NoError(t, store.Clean())
 	snapshot, err := store.Newest()
@@ -43,38 +43,38 @@
 	must.True(t, bytes.Equal(body, read))
 }
 
-func mustList(t *testing.T, store *Store, names ...string) {
+func mustListFiles(t *testing.T, store *Store, names ...string) {
 	t.Helper()
 	found, err := store.Folder.Names()
 	must.NoError(t, err)
 	must.Eq(t, append(names, "LOCK"), found)
 }
 
-// Guards against a snapshot that is not read again, and against old ones that fill the disk.
+// Guards against a saved snapshot that cannot be read, and against old snapshots that fill the disk.
 func TestSaveReplacesOlder(t *testing.T) {
 	store, _ := newStore(t)
 	_, err := store.Newest()
 	must.ErrorIs(t, err, ErrNoSnapshot)
 	large := bytes.Repeat([]byte("state"), MaxChunk)
 	must.NoError(t, save(store, 9, []byte("first")))
-	reader, err := store.Newest()
+	opened, err := store.Newest()
 	must.NoError(t, err)
 	must.NoError(t, save(store, 300, large))
-	mustHold(t, store, 300, large)
-	mustList(t, store, fileName(300))
-	read, err := io.ReadAll(reader.Body())
+	mustLoad(t, store, 300, large)
+	mustListFiles(t, store, fileName(300))
+	read, err := io.ReadAll(opened.Body())
 	must.NoError(t, err)
 	must.Eq(t, "first", string(read))
-	must.NoError(t, reader.Close())
+	must.NoError(t, opened.Close())
 }
 
-// Guards against a failure at any step of Save that loses the snapshot before it.
+// Guards against losing the previous snapshot when a Save fails. The test fails each I/O operation of Save in turn.
 func TestFailedSaveKeepsOlder(t *testing.T) {
 	failed := 0
-	for left := 1; ; left++ {
+	for operationsLeft := 1; ; operationsLeft++ {
 		store, _ := newStore(t)
 		must.NoError(t, save(store, 1, []byte("first")))
-		faulty := &Store{Folder: &faultyFolder{Folder: store.Folder, left: left}, Log: zerolog.Nop()}
+		faulty := &Store{Folder: &faultyFolder{Folder: store.Folder, operationsLeft: operationsLeft}, Log: zerolog.Nop()}
 		if save(faulty, 2, []byte("second")) == nil {
 			break
 		}
@@ -82,38 +82,39 @@
 		must.NoError(t, store.Clean())
 		snapshot, err := store.Newest()
 		must.NoError(t, err)
-		wanted := map[uint64]string{1: "first", 2: "second"}[snapshot.Meta.Index]
+		body := map[uint64]string{1: "first", 2: "second"}[snapshot.Meta.Index]
 		must.NoError(t, snapshot.Close())
-		mustHold(t, store, snapshot.Meta.Index, []byte(wanted))
+		mustLoad(t, store, snapshot.Meta.Index, []byte(body))
 	}
 	must.Eq(t, 6, failed) // create, write, sync, rename, sync of the folder, remove
 }
 
-// Guards against a damaged snapshot that is loaded, or hidden when there is no other.
+// Guards against loading a damaged or truncated snapshot, and against reporting ErrNoSnapshot
+// when the only snapshot is damaged.
 func TestDamageIsNotRead(t *testing.T) {
 	store, path := newStore(t)
 	must.NoError(t, save(store, 2, []byte("state")))
 	file := filepath.Join(path, fileName(2))
 	data, err := os.ReadFile(file)
 	must.NoError(t, err)
-	for at := range data {
+	for offset := range data {
 		damaged := bytes.Clone(data)
-		damaged[at] ^= 1
+		damaged[offset] ^= 1
 		must.NoError(t, os.WriteFile(file, damaged, 0o600))
 		_, err := store.Newest()
 		must.ErrorContains(t, err, fileName(2)+" is damaged")
-		must.NoError(t, os.WriteFile(file, data[:at], 0o600))
+		must.NoError(t, os.WriteFile(file, data[:offset], 0o600))
 		_, err = store.Newest()
 		must.ErrorContains(t, err, fileName(2)+" is damaged")
 	}
 	t.Run("older is valid", func(t *testing.T) {
 		must.NoError(t, os.Rename(file, filepath.Join(path, fileName(3))))
 		must.NoError(t, save(store, 1, []byte("older")))
-		mustHold(t, store, 1, []byte("older"))
+		mustLoad(t, store, 1, []byte("older"))
 	})
 }
 
-func transfer(t *testing.T, from, to *Store, change func(*Chunk)) (*Receiver, error) {
+func transfer(t *testing.T, from, to *Store, modify func(*Chunk)) (*Receiver, error) {
 	snapshot, err := from.Newest()
 	must.NoError(t, err)
 	defer snapshot.Close()
@@ -124,7 +125,7 @@
 		must.NoError(t, err)
 		must.LessEq(t, MaxChunk, len(chunk.Data))
 		offset += int64(len(chunk.Data))
-		change(&chunk)
+		modify(&chunk)
 		meta, err := receiver.Add(chunk)
 		if err != nil || meta != nil {
 			return receiver, err
@@ -132,7 +133,7 @@
 	}
 }
 
-// Guards against transfers that install something else than the sender's snapshot.
+// Guards against installing a snapshot that differs from the sender's.
 func TestTransfer(t *testing.T) {
 	body := bytes.Repeat([]byte("state"), MaxChunk)
 	from, _ := newStore(t)
@@ -143,17 +144,17 @@
 		receiver, err := transfer(t, from, to, func(*Chunk) {})
 		must.NoError(t, err)
 		must.NoError(t, receiver.Install())
-		mustHold(t, to, 5, body)
-		mustList(t, to, fileName(5))
+		mustLoad(t, to, 5, body)
+		mustListFiles(t, to, fileName(5))
 	})
 	t.Run("not installed", func(t *testing.T) {
 		to, _ := newStore(t)
 		must.NoError(t, save(to, 3, []byte("older")))
 		_, err := transfer(t, from, to, func(*Chunk) {})
 		must.NoError(t, err)
-		mustHold(t, to, 3, []byte("older"))
+		mustLoad(t, to, 3, []byte("older"))
 	})
-	for name, change := range map[string]func(*Chunk){
+	for name, modify := range map[string]func(*Chunk){
 		"damaged": func(c *Chunk) { c.Data[len(c.Data)-1]++ },
 		"order":   func(c *Chunk) { c.Offset++ },
 		"early":   func(c *Chunk) { c.Last = true },
@@ -161,16 +162,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			to, _ := newStore(t)
-			receiver, err := transfer(t, from, to, change)
+			receiver, err := transfer(t, from, to, modify)
 			must.ErrorIs(t, err, ErrTransfer)
 			must.ErrorIs(t, receiver.Install(), ErrTransfer)
 			must.NoError(t, receiver.Drop())
-			mustList(t, to)
+			mustListFiles(t, to)
 		})
 	}
 	t.Run("full disk", func(t *testing.T) {
 		to, _ := newStore(t)
-		to.Folder = &faultyFolder{Folder: to.Folder, left: 3}
+		to.Folder = &faultyFolder{Folder: to.Folder, operationsLeft: 3}
 		_, err := transfer(t, from, to, func(*Chunk) {})
 		must.ErrorIs(t, err, syscall.EIO)
 	})
