--- a/state/registrar/batch.go
+++ b/state/registrar/batch.go
@@ -2,5 +2,5 @@
 
 import "oleandertally/core/specifier"
 
-// Batch is the content of one log entry.
+// Batch is the list of commands in one log entry.
 type Batch = specifier.Batch
--- a/state/registrar/bench_test.go
+++ b/state/registrar/bench_test.go
@@ -18,14 +18,14 @@
 	"oleandertally/state/journaler"
 )
 
-func heap() float64 {
+func heapBytes() float64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return float64(stats.HeapAlloc)
 }
 
-// populate accepts and finishes count submissions of 20 entries.
+// populate returns a registrar in which 20 entries accepted and finished count jobs.
 func populate(t must.T, count int) *Registrar {
 	r := New(count)
 	owners := make([]specifier.Identity, 20)
@@ -49,24 +49,25 @@
 	return r
 }
 
-// BenchmarkMemory reports the heap for each remembered submission.
+// BenchmarkMemory reports the heap size for each stored submission.
 func BenchmarkMemory(b *testing.B) {
 	for _, count := range []int{1000, 10_000, 100_000, 3_000_000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			var r *Registrar
-			before := heap()
+			before := heapBytes()
 			for b.Loop() {
 				r = nil
 				r = populate(b, count)
 			}
-			b.ReportMetric((heap()-before)/float64(count), "heap-B/submission")
+			b.ReportMetric((heapBytes()-before)/float64(count), "heap-B/submission")
 			b.ReportMetric(b.Elapsed().Seconds()/float64(b.N)/float64(2*count)*1e9, "ns/command")
 			must.Eq(b, count, r.SubmissionCount())
 		})
 	}
 }
 
-// BenchmarkSnapshot reports the time on the control goroutine (image), off it (encode) and at a start (decode).
+// BenchmarkSnapshot measures the work on the control goroutine (image), on another goroutine
+// (encode) and at startup (decode).
 func BenchmarkSnapshot(b *testing.B) {
 	for _, count := range []int{1000, 10_000, 100_000, 3_000_000} {
 		r := populate(b, count)
@@ -93,12 +94,12 @@
 	}
 }
 
-// BenchmarkRecovery opens a journal of batches with one command each, 100 batches in a frame,
-// from files in the page cache, and decodes and applies all of them.
+// BenchmarkRecovery opens a journal from files in the page cache, and decodes and applies its batches.
+// A batch has one command, and a frame has 100 batches.
 func BenchmarkRecovery(b *testing.B) {
 	for name, command := range map[string]func(i uint64) specifier.Command{
 		"acceptances": func(i uint64) specifier.Command {
-			command := accept(1, first)
+			command := accept(1, firstEntry)
 			command.Job = specifier.NewJobID("team", fmt.Sprint(i))
 			return command
 		},
@@ -111,20 +112,20 @@
 				disk, err := journaler.OpenDisk(b.TempDir())
 				must.NoError(b, err)
 				defer disk.Close()
-				fill(b, disk, count, command)
+				writeJournal(b, disk, count, command)
 				var r *Registrar
-				before := heap()
+				before := heapBytes()
 				for b.Loop() {
-					r = recovered(b, disk)
+					r = recoverFromJournal(b, disk)
 				}
-				b.ReportMetric((heap()-before)/float64(count), "heap-B/change")
+				b.ReportMetric((heapBytes()-before)/float64(count), "heap-B/change")
 				must.Eq(b, uint64(count), r.Index())
 			})
 		}
 	}
 }
 
-func fill(b *testing.B, disk *journaler.Disk, count int, command func(i uint64) specifier.Command) {
+func writeJournal(b *testing.B, disk *journaler.Disk, count int, command func(i uint64) specifier.Command) {
 	journal := &journaler.Journal{Folder: disk, DiskID: 1, Log: zerolog.Nop()}
 	_, err := journal.Open()
 	must.NoError(b, err)
@@ -132,7 +133,7 @@
 	for i := range uint64(count) {
 		batch := Batch{Advance: time.Millisecond / 10, Commands: []specifier.Command{command(i)}}
 		if i == 0 {
-			batch.Commands = append([]specifier.Command{specifier.JoinMember{Member: member(specifier.Entry, first)}}, batch.Commands...)
+			batch.Commands = append([]specifier.Command{specifier.JoinMember{Member: member(specifier.Entry, firstEntry)}}, batch.Commands...)
 		}
 		raw, err := proto.Marshal(encoder.EncodeBatch(batch))
 		must.NoError(b, err)
@@ -145,7 +146,7 @@
 	must.NoError(b, journal.Close())
 }
 
-func recovered(b *testing.B, disk *journaler.Disk) *Registrar {
+func recoverFromJournal(b *testing.B, disk *journaler.Disk) *Registrar {
 	journal := &journaler.Journal{Folder: disk, DiskID: 1, Log: zerolog.Nop()}
 	content, err := journal.Open()
 	must.NoError(b, err)
--- a/state/registrar/changes_test.go
+++ b/state/registrar/changes_test.go
@@ -10,101 +10,101 @@
 	"oleandertally/core/specifier"
 )
 
-// Guards against a change that is applied twice, lost, half applied or reverted by a resend.
+// Guards against a configuration change that is applied twice, applied in part, lost, or reverted by a resend.
 func TestChanges(t *testing.T) {
-	run(t, map[string]func(*bench){
-		"resend": func(b *bench) {
-			decision := b.want(specifier.Applied, change("r1", "ana", 0, "a"))
-			b.want(specifier.Applied, change("r2", "bea", 1, "b"))
-			must.Eq(b.t, decision, b.want(specifier.Applied, change("r1", "ana", 0, "a")))
-			must.Eq(b.t, 1, decision.Revision)
-			must.Eq(b.t, 2, b.registrar.Configuration().Revision)
+	runWithMembers(t, map[string]func(*fixture){
+		"resend": func(f *fixture) {
+			decision := f.mustDecide(specifier.Applied, change("r1", "ana", 0, "a"))
+			f.mustDecide(specifier.Applied, change("r2", "bea", 1, "b"))
+			must.Eq(f.t, decision, f.mustDecide(specifier.Applied, change("r1", "ana", 0, "a")))
+			must.Eq(f.t, 1, decision.Revision)
+			must.Eq(f.t, 2, f.registrar.Configuration().Revision)
 		},
-		"resend to another leader": func(b *bench) {
-			decision := b.want(specifier.Applied, change("r1", "ana", 0, "a"))
-			b.registrar = restored(b.t, b.registrar)
-			must.Eq(b.t, decision, b.want(specifier.Applied, change("r1", "ana", 0, "a")))
+		"resend to another leader": func(f *fixture) {
+			decision := f.mustDecide(specifier.Applied, change("r1", "ana", 0, "a"))
+			f.registrar = restoreFromImage(f.t, f.registrar)
+			must.Eq(f.t, decision, f.mustDecide(specifier.Applied, change("r1", "ana", 0, "a")))
 		},
-		"race": func(b *bench) {
-			b.want(specifier.Applied, change("r1", "ana", 0, "a"))
-			b.want(specifier.Applied, change("r2", "carla", 1, "a"))
-			lost := b.want(specifier.Conflict, change("r3", "bea", 0, "a"))
-			must.Eq(b.t, "ana", lost.Operator)
-			must.Eq(b.t, 2, lost.Revision)
-			b.want(specifier.Applied, change("r4", "dora", 2, "a"))
-			must.Eq(b.t, lost, b.want(specifier.Conflict, change("r3", "bea", 0, "a")))
+		"race": func(f *fixture) {
+			f.mustDecide(specifier.Applied, change("r1", "ana", 0, "a"))
+			f.mustDecide(specifier.Applied, change("r2", "carla", 1, "a"))
+			conflict := f.mustDecide(specifier.Conflict, change("r3", "bea", 0, "a"))
+			must.Eq(f.t, "ana", conflict.Operator)
+			must.Eq(f.t, 2, conflict.Revision)
+			f.mustDecide(specifier.Applied, change("r4", "dora", 2, "a"))
+			must.Eq(f.t, conflict, f.mustDecide(specifier.Conflict, change("r3", "bea", 0, "a")))
 		},
-		"reused id": func(b *bench) {
-			b.want(specifier.Applied, change("r1", "ana", 0, "a"))
-			must.StrContains(b.t, b.want(specifier.Rejected, change("r1", "ana", 1, "b")).Detail, "RequestId: ")
-			must.Eq(b.t, 1, b.registrar.Configuration().Revision)
+		"reused id": func(f *fixture) {
+			f.mustDecide(specifier.Applied, change("r1", "ana", 0, "a"))
+			must.StrContains(f.t, f.mustDecide(specifier.Rejected, change("r1", "ana", 1, "b")).Detail, "RequestId: ")
+			must.Eq(f.t, 1, f.registrar.Configuration().Revision)
 		},
-		"every problem": func(b *bench) {
-			bad := change("r1", "ana", 0, "")
-			bad.RemoveTeams = []string{"x"}
-			detail := b.want(specifier.Rejected, bad).Detail
-			must.StrContains(b.t, detail, "Profiles[0].Name: ")
-			must.StrContains(b.t, detail, "RemoveTeams[0]: ")
-			must.MapEmpty(b.t, b.registrar.Configuration().Profiles)
+		"every problem": func(f *fixture) {
+			invalid := change("r1", "ana", 0, "")
+			invalid.RemoveTeams = []string{"x"}
+			detail := f.mustDecide(specifier.Rejected, invalid).Detail
+			must.StrContains(f.t, detail, "Profiles[0].Name: ")
+			must.StrContains(f.t, detail, "RemoveTeams[0]: ")
+			must.MapEmpty(f.t, f.registrar.Configuration().Profiles)
 		},
-		"future revision": func(b *bench) { b.want(specifier.Rejected, change("r1", "ana", 1, "a")) },
-		"no request id":   func(b *bench) { b.want(specifier.Rejected, change("", "ana", 0, "a")) },
-		"forgotten request": func(b *bench) {
-			b.want(specifier.Applied, change("r1", "ana", 0, "a"))
-			b.advance(specifier.RequestRetention)
-			must.Eq(b.t, "ana", b.want(specifier.Conflict, change("r1", "ana", 0, "a")).Operator)
+		"future revision": func(f *fixture) { f.mustDecide(specifier.Rejected, change("r1", "ana", 1, "a")) },
+		"no request id":   func(f *fixture) { f.mustDecide(specifier.Rejected, change("", "ana", 0, "a")) },
+		"forgotten request": func(f *fixture) {
+			f.mustDecide(specifier.Applied, change("r1", "ana", 0, "a"))
+			f.advance(specifier.RequestRetention)
+			must.Eq(f.t, "ana", f.mustDecide(specifier.Conflict, change("r1", "ana", 0, "a")).Operator)
 		},
-		"bound": func(b *bench) {
+		"bound": func(f *fixture) {
 			for i := range specifier.MaxRequests + 1 {
-				b.apply(change(fmt.Sprint(i), "ana", specifier.Revision(i), "a"))
+				f.apply(change(fmt.Sprint(i), "ana", specifier.Revision(i), "a"))
 			}
-			must.Eq(b.t, specifier.MaxRequests, len(b.registrar.requests.byID))
-			b.want(specifier.Conflict, change("0", "ana", 0, "a"))
-			must.Eq(b.t, 3, b.want(specifier.Applied, change("2", "ana", 2, "a")).Revision)
+			must.Eq(f.t, specifier.MaxRequests, len(f.registrar.requests.byID))
+			f.mustDecide(specifier.Conflict, change("0", "ana", 0, "a"))
+			must.Eq(f.t, 3, f.mustDecide(specifier.Applied, change("2", "ana", 2, "a")).Revision)
 		},
 	})
 }
 
-// Guards against members that come back from Down, and lists that grow without bound.
+// Guards against an incarnation that returns after it went Down, and against unbounded lists of members and departures.
 func TestMembers(t *testing.T) {
-	run(t, map[string]func(*bench){
-		"drain outlives a restart": func(b *bench) {
-			b.want(specifier.Applied, specifier.DrainMember{Name: "agent-1", Draining: true})
-			b.join(specifier.Agent, identity("agent-1", 8))
-			known, _ := b.registrar.Member("agent-1")
-			must.Eq(b.t, specifier.Draining, known.State)
-			b.want(specifier.Applied, specifier.DrainMember{Name: "agent-1"})
-			known, _ = b.registrar.Member("agent-1")
-			must.Eq(b.t, specifier.Up, known.State)
+	runWithMembers(t, map[string]func(*fixture){
+		"drain outlives a restart": func(f *fixture) {
+			f.mustDecide(specifier.Applied, specifier.DrainMember{Name: "agent-1", Draining: true})
+			f.join(specifier.Agent, identity("agent-1", 8))
+			member, _ := f.registrar.Member("agent-1")
+			must.Eq(f.t, specifier.Draining, member.State)
+			f.mustDecide(specifier.Applied, specifier.DrainMember{Name: "agent-1"})
+			member, _ = f.registrar.Member("agent-1")
+			must.Eq(f.t, specifier.Up, member.State)
 		},
-		"old incarnation": func(b *bench) {
-			b.join(specifier.Agent, identity("agent-1", 8))
-			b.want(specifier.Fenced, specifier.JoinMember{Member: member(specifier.Agent, worker)})
-			b.want(specifier.Applied, specifier.EndMember{Identity: worker})
-			known, _ := b.registrar.Member("agent-1")
-			must.Eq(b.t, specifier.Up, known.State)
+		"old incarnation": func(f *fixture) {
+			f.join(specifier.Agent, identity("agent-1", 8))
+			f.mustDecide(specifier.Fenced, specifier.JoinMember{Member: member(specifier.Agent, agent)})
+			f.mustDecide(specifier.Applied, specifier.EndMember{Identity: agent})
+			member, _ := f.registrar.Member("agent-1")
+			must.Eq(f.t, specifier.Up, member.State)
 		},
-		"down member is forgotten": func(b *bench) {
-			b.want(specifier.Applied, specifier.EndMember{Identity: worker})
-			b.want(specifier.Fenced, specifier.JoinMember{Member: member(specifier.Agent, worker)})
-			b.advance(2 * time.Hour)
-			must.Eq(b.t, 2, len(b.registrar.Members()))
-			must.SliceEmpty(b.t, b.registrar.departed.items)
+		"down member is forgotten": func(f *fixture) {
+			f.mustDecide(specifier.Applied, specifier.EndMember{Identity: agent})
+			f.mustDecide(specifier.Fenced, specifier.JoinMember{Member: member(specifier.Agent, agent)})
+			f.advance(2 * time.Hour)
+			must.Eq(f.t, 2, len(f.registrar.Members()))
+			must.SliceEmpty(f.t, f.registrar.departed.items)
 		},
-		"crash loop": func(b *bench) {
+		"crash loop": func(f *fixture) {
 			for i := range uint64(specifier.MaxRestarts) {
-				b.join(specifier.Agent, identity("agent-1", 100+i))
+				f.join(specifier.Agent, identity("agent-1", 100+i))
 			}
-			b.want(specifier.Full, specifier.JoinMember{Member: member(specifier.Agent, identity("agent-1", 999))})
-			b.join(specifier.Agent, identity("agent-2", 1))
-			b.advance(2 * time.Hour)
-			b.join(specifier.Agent, identity("agent-1", 999))
+			f.mustDecide(specifier.Full, specifier.JoinMember{Member: member(specifier.Agent, identity("agent-1", 999))})
+			f.join(specifier.Agent, identity("agent-2", 1))
+			f.advance(2 * time.Hour)
+			f.join(specifier.Agent, identity("agent-1", 999))
 		},
-		"too many": func(b *bench) {
+		"too many": func(f *fixture) {
 			for i := 3; i < specifier.MaxMembers; i++ {
-				b.join(specifier.Agent, identity(fmt.Sprint(i), 1))
+				f.join(specifier.Agent, identity(fmt.Sprint(i), 1))
 			}
-			b.want(specifier.Full, specifier.JoinMember{Member: member(specifier.Agent, identity("x", 1))})
+			f.mustDecide(specifier.Full, specifier.JoinMember{Member: member(specifier.Agent, identity("x", 1))})
 		},
 	})
 }
--- a/state/registrar/departure.go
+++ b/state/registrar/departure.go
@@ -6,11 +6,11 @@
 	"oleandertally/core/specifier"
 )
 
-// departure records an incarnation that went Down. A job accepted before it may have tasks
-// there, so it is kept as long as any such submission can be.
+// departure records an incarnation of a member that went Down. Jobs accepted earlier may have tasks on
+// it, so the record is kept as long as the submission of any such job can be.
 type departure struct {
-	identity specifier.Identity
-	role     specifier.Role
-	index    uint64 // of the batch that recorded it
-	keep     time.Time
+	identity  specifier.Identity
+	role      specifier.Role
+	index     uint64 // log index of the batch that recorded the departure
+	keepUntil time.Time
 }
--- a/state/registrar/departures.go
+++ b/state/registrar/departures.go
@@ -6,85 +6,85 @@
 	"oleandertally/core/specifier"
 )
 
-// departures holds the incarnations that went Down, oldest first.
+// departures is the list of incarnations that went Down, oldest first.
 type departures struct {
-	items []departure
-	next  time.Time // no departure is forgotten before
+	items      []departure
+	nextExpiry time.Time // earliest keepUntil of the items
 }
 
 func (d *departures) add(added departure) {
-	if len(d.items) == 0 || added.keep.Before(d.next) {
-		d.next = added.keep
+	if len(d.items) == 0 || added.keepUntil.Before(d.nextExpiry) {
+		d.nextExpiry = added.keepUntil
 	}
 	d.items = append(d.items, added)
 }
 
-func (d *departures) has(id specifier.Identity) bool {
-	for _, known := range d.items {
-		if known.identity == id {
+func (d *departures) contains(id specifier.Identity) bool {
+	for _, item := range d.items {
+		if item.identity == id {
 			return true
 		}
 	}
 	return false
 }
 
-// count returns how many incarnations of name are held.
+// count returns the number of recorded incarnations of name.
 func (d *departures) count(name string) int {
 	count := 0
-	for _, known := range d.items {
-		if known.identity.Name == name {
+	for _, item := range d.items {
+		if item.identity.Name == name {
 			count++
 		}
 	}
 	return count
 }
 
-// agentsSince returns the agents that went Down in the batch at index or later.
+// agentsSince returns the agents that went Down in the batch at index or in a later one.
 func (d *departures) agentsSince(index uint64) []specifier.Identity {
-	var gone []specifier.Identity
-	for _, known := range d.items {
-		if known.index >= index && known.role == specifier.Agent {
-			gone = append(gone, known.identity)
+	var agents []specifier.Identity
+	for _, item := range d.items {
+		if item.index >= index && item.role == specifier.Agent {
+			agents = append(agents, item.identity)
 		}
 	}
-	return gone
+	return agents
 }
 
-// extend keeps what departed since index at least until keep. A submission that is taken over
-// late outlives the time that its departures were given.
-func (d *departures) extend(index uint64, keep time.Time) {
+// extendRetention keeps the departures since index at least until keepUntil. Without it, a job that
+// is taken over late could outlive the departures that its new owner must consider.
+func (d *departures) extendRetention(index uint64, keepUntil time.Time) {
 	for i := range d.items {
-		if d.items[i].index >= index && d.items[i].keep.Before(keep) {
-			d.items[i].keep = keep
+		if d.items[i].index >= index && d.items[i].keepUntil.Before(keepUntil) {
+			d.items[i].keepUntil = keepUntil
 		}
 	}
 }
 
-// forget removes the departures whose time is over and returns them.
-func (d *departures) forget(now time.Time) []departure {
-	if len(d.items) == 0 || d.next.After(now) {
+// expire removes and returns the expired departures.
+func (d *departures) expire(now time.Time) []departure {
+	if len(d.items) == 0 || d.nextExpiry.After(now) {
 		return nil
 	}
-	var over []departure
-	kept := d.items[:0]
-	for _, known := range d.items {
-		if known.keep.After(now) {
-			kept = append(kept, known)
+	var expired []departure
+	remaining := d.items[:0]
+	for _, item := range d.items {
+		if item.keepUntil.After(now) {
+			remaining = append(remaining, item)
 			continue
 		}
-		over = append(over, known)
+		expired = append(expired, item)
 	}
-	clear(d.items[len(kept):])
-	d.items = kept
-	d.schedule()
-	return over
+	clear(d.items[len(remaining):])
+	d.items = remaining
+	d.updateNextExpiry()
+	return expired
 }
 
-// schedule sets next to the earliest time of a departure.
-func (d *departures) schedule() {
-	for i, known := range d.items {
-		if i == 0 || known.keep.Before(d.next) {
-			d.next = known.keep
+// updateNextExpiry recomputes nextExpiry.
+func (d *departures) updateNextExpiry() {
+	for i, item := range d.items {
+		if i == 0 || item.keepUntil.Before(d.nextExpiry) {
+			d.nextExpiry = item.keepUntil
 		}
 	}
 }
--- a/state/registrar/digest.go
+++ b/state/registrar/digest.go
@@ -2,8 +2,8 @@
 
 import "oleandertally/core/specifier"
 
-// digest is the first half of a specifier.Digest. It tells two contents under one key apart by
-// accident only, for which 128 bits are plenty, and saves 48 MB at 3 million submissions.
+// digest is the first half of a specifier.Digest. It detects accidental reuse of a key with another
+// body, for which 128 bits are enough. The shorter digest saves 48 MB at 3 million submissions.
 type digest [16]byte
 
-func shorten(whole specifier.Digest) digest { return digest(whole[:16]) }
+func truncateDigest(full specifier.Digest) digest { return digest(full[:16]) }
--- a/state/registrar/doc.go
+++ b/state/registrar/doc.go
@@ -1,3 +1,4 @@
-// Package registrar is the replicated state: submissions, configuration and membership. Apply is
-// deterministic: the same batches in the same order give the same state and decisions everywhere.
+// Package registrar implements the replicated state machine for submissions, configuration and
+// membership. Apply is deterministic: the same batches in the same order give the same state and
+// decisions on every replica.
 package registrar
--- a/state/registrar/expiry.go
+++ b/state/registrar/expiry.go
@@ -6,16 +6,16 @@
 	"oleandertally/core/specifier"
 )
 
-// expiry is an entry of the heap of submissions by the time until which they are kept.
+// expiry is an entry of the heap that orders submissions by their expiry time.
 type expiry struct {
-	keep seconds
-	job  specifier.JobID
+	keepUntil seconds
+	job       specifier.JobID
 }
 
-// less breaks ties by job, so that every replica forgets in the same order.
+// less breaks ties by job ID, so that all replicas expire submissions in the same order.
 func (e expiry) less(other expiry) bool {
-	if e.keep != other.keep {
-		return e.keep < other.keep
+	if e.keepUntil != other.keepUntil {
+		return e.keepUntil < other.keepUntil
 	}
 	return bytes.Compare(e.job[:], other.job[:]) < 0
 }
--- a/state/registrar/helpers_test.go
+++ b/state/registrar/fixture_test.go
@@ -11,31 +11,31 @@
 	"oleandertally/core/specifier"
 )
 
-// bench drives a registrar in tests: each call applies one batch.
-type bench struct {
+// fixture is a registrar under test. Each call applies one batch.
+type fixture struct {
 	t         must.T
 	registrar *Registrar
 }
 
-func newBench(t must.T) *bench { return &bench{t: t, registrar: New(100)} }
+func newFixture(t must.T) *fixture { return &fixture{t: t, registrar: New(100)} }
 
-func (b *bench) apply(command specifier.Command) specifier.Decision {
-	return b.registrar.Apply(b.registrar.Index()+1, Batch{Commands: []specifier.Command{command}})[0]
+func (f *fixture) apply(command specifier.Command) specifier.Decision {
+	return f.registrar.Apply(f.registrar.Index()+1, Batch{Commands: []specifier.Command{command}})[0]
 }
 
-func (b *bench) advance(by time.Duration) {
-	b.registrar.Apply(b.registrar.Index()+1, Batch{Advance: by})
+func (f *fixture) advance(by time.Duration) {
+	f.registrar.Apply(f.registrar.Index()+1, Batch{Advance: by})
 }
 
-func (b *bench) join(role specifier.Role, id specifier.Identity) {
-	b.want(specifier.Applied, specifier.JoinMember{Member: member(role, id)})
+func (f *fixture) join(role specifier.Role, id specifier.Identity) {
+	f.mustDecide(specifier.Applied, specifier.JoinMember{Member: member(role, id)})
 }
 
-// want asserts the verdict of command.
-func (b *bench) want(verdict specifier.Verdict, command specifier.Command) specifier.Decision {
-	b.t.Helper()
-	decision := b.apply(command)
-	must.Eq(b.t, verdict, decision.Verdict, must.Sprintf("%T: %+v", command, decision))
+// mustDecide applies command and asserts the verdict.
+func (f *fixture) mustDecide(verdict specifier.Verdict, command specifier.Command) specifier.Decision {
+	f.t.Helper()
+	decision := f.apply(command)
+	must.Eq(f.t, verdict, decision.Verdict, must.Sprintf("%T: %+v", command, decision))
 	return decision
 }
 
@@ -66,43 +66,43 @@
 		Profiles: []specifier.Profile{{Name: profile, Service: "reservas"}}}
 }
 
-func encoded(t must.T, r *Registrar) []byte {
+func encodeImage(t must.T, r *Registrar) []byte {
 	t.Helper()
 	var buffer bytes.Buffer
 	must.NoError(t, r.Image().Encode(&buffer))
 	return buffer.Bytes()
 }
 
-// restored returns the registrar that another controller reads from the snapshot of r.
-func restored(t must.T, r *Registrar) *Registrar {
+// restoreFromImage returns a copy of r that is decoded from its encoded image, as on another controller.
+func restoreFromImage(t must.T, r *Registrar) *Registrar {
 	t.Helper()
-	copied, err := Decode(bytes.NewReader(encoded(t, r)), r.MaxSubmissions)
+	decoded, err := Decode(bytes.NewReader(encodeImage(t, r)), r.MaxSubmissions)
 	must.NoError(t, err)
-	return copied
+	return decoded
 }
 
-// mustEncodeSame asserts that two replicas have the same state.
+// mustEncodeSame asserts that two replicas have the same encoded state.
 func mustEncodeSame(t must.T, a, b *Registrar) {
 	t.Helper()
-	must.True(t, bytes.Equal(encoded(t, a), encoded(t, b)))
+	must.True(t, bytes.Equal(encodeImage(t, a), encodeImage(t, b)))
 }
 
 var (
-	first  = identity("entry-1", 1)
-	second = identity("entry-2", 2)
-	worker = identity("agent-1", 3)
+	firstEntry  = identity("entry-1", 1)
+	secondEntry = identity("entry-2", 2)
+	agent       = identity("agent-1", 3)
 )
 
-// run runs each test with two entries and an agent that are up.
-func run(t *testing.T, tests map[string]func(*bench)) {
+// runWithMembers runs each test on a registrar with two entries and an agent that are Up.
+func runWithMembers(t *testing.T, tests map[string]func(*fixture)) {
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t)
-			b.join(specifier.Entry, first)
-			b.join(specifier.Entry, second)
-			b.join(specifier.Agent, worker)
-			test(b)
-			mustEncodeSame(t, b.registrar, restored(t, b.registrar))
+			f := newFixture(t)
+			f.join(specifier.Entry, firstEntry)
+			f.join(specifier.Entry, secondEntry)
+			f.join(specifier.Agent, agent)
+			test(f)
+			mustEncodeSame(t, f.registrar, restoreFromImage(t, f.registrar))
 		})
 	}
 }
--- a/state/registrar/lastoperator.go
+++ b/state/registrar/lastoperator.go
@@ -1,4 +1,4 @@
 package registrar
 
-// Changed returns the operator who made the newest change of the configuration.
-func (r *Registrar) LastOperator() string { return r.changed }
+// LastOperator returns the operator who made the latest change to the configuration.
+func (r *Registrar) LastOperator() string { return r.lastOperator }
--- a/state/registrar/members.go
+++ b/state/registrar/members.go
@@ -8,19 +8,19 @@
 	"oleandertally/core/specifier"
 )
 
-// join records a member as Up, or as Draining when an operator drains its name.
+// join records a member as Up, or as Draining if an operator drains members of that name.
 func (r *Registrar) join(c specifier.JoinMember) specifier.Decision {
-	known, ok := r.members[c.Member.Name]
+	member, ok := r.members[c.Member.Name]
 	switch {
-	case r.departed.has(c.Member.Identity):
+	case r.departed.contains(c.Member.Identity):
 		return specifier.Decision{Verdict: specifier.Fenced, Detail: c.Member.Identity.String() + " is recorded as Down"}
 	case !ok && len(r.members) >= specifier.MaxMembers:
 		return specifier.Decision{Verdict: specifier.Full, Detail: fmt.Sprintf("there are %d members", len(r.members))}
-	case (!ok || known.Identity != c.Member.Identity) && r.restartsFull(c.Member.Name):
+	case (!ok || member.Identity != c.Member.Identity) && r.tooManyRestarts(c.Member.Name):
 		return specifier.Decision{Verdict: specifier.Full, Detail: "too many restarts are remembered"}
 	}
-	if ok && known.Identity != c.Member.Identity {
-		r.depart(known)
+	if ok && member.Identity != c.Member.Identity {
+		r.recordDeparture(member)
 	}
 	joined := c.Member
 	joined.State = specifier.Up
@@ -31,28 +31,28 @@
 	return specifier.Decision{Verdict: specifier.Applied}
 }
 
-// restartsFull reports whether another incarnation of name could not be remembered once it goes
-// Down. Every member can go Down, so there is room for all of them.
-func (r *Registrar) restartsFull(name string) bool {
+// tooManyRestarts reports whether there is no space left to record the departure of another
+// incarnation of name. Every current member can go Down, so space is reserved for all of them.
+func (r *Registrar) tooManyRestarts(name string) bool {
 	return len(r.departed.items)+len(r.members) >= specifier.MaxDeparted || r.departed.count(name) >= specifier.MaxRestarts
 }
 
 func (r *Registrar) end(c specifier.EndMember) specifier.Decision {
-	if r.departed.has(c.Identity) {
+	if r.departed.contains(c.Identity) {
 		return specifier.Decision{Verdict: specifier.Applied}
 	}
-	known, ok := r.members[c.Identity.Name]
-	if !ok || known.Identity != c.Identity {
+	member, ok := r.members[c.Identity.Name]
+	if !ok || member.Identity != c.Identity {
 		return specifier.Decision{Verdict: specifier.Rejected, Detail: "Identity: unknown member " + c.Identity.String()}
 	}
-	r.depart(known)
-	known.State = specifier.Down
-	r.setMember(known)
+	r.recordDeparture(member)
+	member.State = specifier.Down
+	r.setMember(member)
 	return specifier.Decision{Verdict: specifier.Applied}
 }
 
 func (r *Registrar) drain(c specifier.DrainMember) specifier.Decision {
-	known, ok := r.members[c.Name]
+	member, ok := r.members[c.Name]
 	switch {
 	case !ok && !r.draining[c.Name]:
 		return specifier.Decision{Verdict: specifier.Rejected, Detail: "Name: unknown member " + c.Name}
@@ -63,12 +63,12 @@
 	default:
 		r.draining[c.Name] = true
 	}
-	if ok && known.State != specifier.Down {
-		known.State = specifier.Up
+	if ok && member.State != specifier.Down {
+		member.State = specifier.Up
 		if c.Draining {
-			known.State = specifier.Draining
+			member.State = specifier.Draining
 		}
-		r.setMember(known)
+		r.setMember(member)
 	}
 	return specifier.Decision{Verdict: specifier.Applied}
 }
@@ -80,16 +80,16 @@
 	}
 }
 
-// MemberVersion counts the changes of the membership.
+// MemberVersion returns the number of changes to the membership.
 func (r *Registrar) MemberVersion() uint64 { return r.memberVersion }
 
-// Member returns the member of a name.
+// Member returns the member called name.
 func (r *Registrar) Member(name string) (specifier.Member, bool) {
 	member, ok := r.members[name]
 	return member, ok
 }
 
-// Members returns every member, by name.
+// Members returns all members, sorted by name.
 func (r *Registrar) Members() []specifier.Member {
 	members := make([]specifier.Member, 0, len(r.members))
 	for _, name := range slices.Sorted(maps.Keys(r.members)) {
@@ -98,32 +98,32 @@
 	return members
 }
 
-// depart remembers an incarnation that goes Down, unless it is Down already.
-func (r *Registrar) depart(known specifier.Member) {
-	if known.State == specifier.Down {
+// recordDeparture records that an incarnation goes Down, unless it already is.
+func (r *Registrar) recordDeparture(member specifier.Member) {
+	if member.State == specifier.Down {
 		return
 	}
-	keep := r.now.Add(specifier.MaxTimeLeft + specifier.KeyRetention + 2*keepMargin)
-	r.departed.add(departure{identity: known.Identity, role: known.Role, index: r.index, keep: keep})
+	keepUntil := r.now.Add(specifier.MaxTimeLeft + specifier.KeyRetention + 2*retentionMargin)
+	r.departed.add(departure{identity: member.Identity, role: member.Role, index: r.index, keepUntil: keepUntil})
 }
 
-// forgetMembers removes members that have been Down for as long as a submission can refer to them.
-func (r *Registrar) forgetMembers() {
-	for _, over := range r.departed.forget(r.now) {
-		if r.members[over.identity.Name].Identity == over.identity {
-			delete(r.members, over.identity.Name)
+// expireMembers removes members that have been Down for so long that no submission can refer to them.
+func (r *Registrar) expireMembers() {
+	for _, expired := range r.departed.expire(r.now) {
+		if r.members[expired.identity.Name].Identity == expired.identity {
+			delete(r.members, expired.identity.Name)
 		}
 	}
 }
 
 // isUp reports whether id is a member that is not Down.
 func (r *Registrar) isUp(id specifier.Identity) bool {
-	known, ok := r.members[id.Name]
-	return ok && known.Identity == id && known.State != specifier.Down
+	member, ok := r.members[id.Name]
+	return ok && member.Identity == id && member.State != specifier.Down
 }
 
-// mayOwn reports whether id may become the owner of a job: an entry that is not Down. An entry
-// that drains may, because it had the job before it learned so.
+// mayOwn reports whether id may become the owner of a job, that is, whether it is an entry that is
+// not Down. A draining entry may, because it got the job before it learned that it is draining.
 func (r *Registrar) mayOwn(id specifier.Identity) bool {
 	return r.isUp(id) && r.members[id.Name].Role == specifier.Entry
 }
--- a/state/registrar/property_test.go
+++ b/state/registrar/property_test.go
@@ -12,17 +12,17 @@
 	"oleandertally/core/specifier"
 )
 
-// drawCommand draws from few jobs, members and request ids, so that commands meet.
+// drawCommand draws a command on a few jobs, members and request IDs, so that commands affect each other.
 func drawCommand(t *rapid.T) specifier.Command {
 	job := rapid.SampledFrom([]byte{1, 1, 1, 2}).Draw(t, "job")
 	owner := identity(rapid.SampledFrom([]string{"entry-1", "entry-2"}).Draw(t, "entry"),
 		rapid.SampledFrom([]uint64{1, 1, 1, 1, 2, 3}).Draw(t, "incarnation"))
 	epoch := rapid.SampledFrom([]specifier.Epoch{1, 1, 1, 2, 2, 3}).Draw(t, "epoch")
-	left := rapid.SampledFrom([]time.Duration{0, 0, time.Minute, time.Hour}).Draw(t, "left")
+	timeLeft := rapid.SampledFrom([]time.Duration{0, 0, time.Minute, time.Hour}).Draw(t, "left")
 	switch rapid.IntRange(0, 14).Draw(t, "command") {
 	case 0, 1:
 		command := takeOver(job, owner, epoch)
-		command.TimeLeft = left
+		command.TimeLeft = timeLeft
 		return command
 	case 2, 3:
 		return finish(job, owner, epoch, rapid.SampledFrom([]specifier.Reason{specifier.TaskFailed, specifier.TimedOut}).Draw(t, "reason"))
@@ -43,12 +43,12 @@
 	command := accept(job, owner)
 	command.Digest[1] = rapid.SampledFrom([]byte{0, 0, 0, 1}).Draw(t, "body")
 	command.Revision = rapid.SampledFrom([]specifier.Revision{1, 100, 100}).Draw(t, "revision")
-	command.TimeLeft = left
+	command.TimeLeft = timeLeft
 	return command
 }
 
-// drawBatches begins with two entries that are up. Some advances end just before, at or after the
-// time of a key.
+// drawBatches draws batches that follow the join of two entries. Some advances of the clock end
+// just before, at or after the expiry of a submission.
 func drawBatches(t *rapid.T) []Batch {
 	joins := Batch{Commands: []specifier.Command{specifier.JoinMember{Member: member(specifier.Entry, identity("entry-1", 1))},
 		specifier.JoinMember{Member: member(specifier.Entry, identity("entry-2", 1))}}}
@@ -59,54 +59,54 @@
 	}), 1, 40).Draw(t, "batches")...)
 }
 
-// Guards against replicas that decide differently, and a replica that starts from a snapshot.
+// Guards against replicas that decide differently, also when one of them starts from a snapshot.
 func TestReplicasAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		batches := drawBatches(t)
-		at := rapid.IntRange(0, len(batches)).Draw(t, "snapshot at")
-		whole, again, copied := New(3), New(3), New(3)
+		restoreAt := rapid.IntRange(0, len(batches)).Draw(t, "snapshot at")
+		first, second, restored := New(3), New(3), New(3)
 		for i, batch := range batches {
-			if i == at {
-				copied = restored(t, copied)
+			if i == restoreAt {
+				restored = restoreFromImage(t, restored)
 			}
 			index := uint64(i) + 1
-			decisions := whole.Apply(index, batch)
-			must.Eq(t, decisions, again.Apply(index, batch))
-			must.Eq(t, decisions, copied.Apply(index, batch))
+			decisions := first.Apply(index, batch)
+			must.Eq(t, decisions, second.Apply(index, batch))
+			must.Eq(t, decisions, restored.Apply(index, batch))
 		}
-		mustEncodeSame(t, whole, again)
-		mustEncodeSame(t, whole, copied)
-		mustEncodeSame(t, whole, restored(t, whole))
+		mustEncodeSame(t, first, second)
+		mustEncodeSame(t, first, restored)
+		mustEncodeSame(t, first, restoreFromImage(t, first))
 	})
 }
 
-// history records what a registrar promised and checks each decision against it.
-type history struct {
+// decisionHistory records the guarantees of earlier decisions and checks each new decision against them.
+type decisionHistory struct {
 	registrar *Registrar
-	jobs      map[specifier.JobID]*promised
-	applied   map[string]time.Time // on the log's clock
+	jobs      map[specifier.JobID]*guarantees
+	appliedAt map[string]time.Time // by request ID, on the clock of the log
 	revision  specifier.Revision
 }
 
-// promised is what must hold for one job while it is remembered.
-type promised struct {
-	until  time.Time // on the log's clock
-	epoch  specifier.Epoch
-	owners map[specifier.Epoch]specifier.Identity
-	answer *specifier.Answer
+// guarantees is what must hold for one job until its submission expires.
+type guarantees struct {
+	keepUntil time.Time // on the clock of the log
+	epoch     specifier.Epoch
+	owners    map[specifier.Epoch]specifier.Identity
+	answer    *specifier.Answer
 }
 
-// forget drops the jobs that the registrar forgot, which it may once their time is over.
-func (h *history) forget(t *rapid.T) {
+// removeExpired removes the jobs that the registrar has removed and asserts that they had expired.
+func (h *decisionHistory) removeExpired(t *rapid.T) {
 	for id, job := range h.jobs {
 		if _, remembered := h.registrar.submissions[id]; !remembered {
-			must.False(t, job.until.After(h.registrar.now))
+			must.False(t, job.keepUntil.After(h.registrar.now))
 			delete(h.jobs, id)
 		}
 	}
 }
 
-func (h *history) check(t *rapid.T, command specifier.Command, decision specifier.Decision) {
+func (h *decisionHistory) check(t *rapid.T, command specifier.Command, decision specifier.Decision) {
 	switch command := command.(type) {
 	case specifier.AcceptJob:
 		h.checkJob(t, command.Job, command.Owner, command.TimeLeft, decision)
@@ -122,24 +122,24 @@
 	must.Eq(t, h.revision, h.registrar.configuration.Revision)
 }
 
-// checkChange allows a new revision only for a request id that was not applied within RequestRetention.
-func (h *history) checkChange(t *rapid.T, command specifier.ChangeConfiguration, decision specifier.Decision) {
+// checkChange asserts that a new revision comes from a request ID that was not applied within RequestRetention.
+func (h *decisionHistory) checkChange(t *rapid.T, command specifier.ChangeConfiguration, decision specifier.Decision) {
 	if h.registrar.configuration.Revision == h.revision {
 		return
 	}
 	h.revision++
 	must.Eq(t, specifier.Applied, decision.Verdict)
 	must.Eq(t, command.From+1, h.revision)
-	if before, ok := h.applied[command.RequestID]; ok {
+	if before, ok := h.appliedAt[command.RequestID]; ok {
 		must.GreaterEq(t, specifier.RequestRetention, h.registrar.now.Sub(before))
 	}
-	h.applied[command.RequestID] = h.registrar.now
+	h.appliedAt[command.RequestID] = h.registrar.now
 }
 
-func (h *history) checkJob(t *rapid.T, id specifier.JobID, owner specifier.Identity, left time.Duration, decision specifier.Decision) {
+func (h *decisionHistory) checkJob(t *rapid.T, id specifier.JobID, owner specifier.Identity, timeLeft time.Duration, decision specifier.Decision) {
 	job := h.jobs[id]
 	if job == nil {
-		job = &promised{owners: map[specifier.Epoch]specifier.Identity{}}
+		job = &guarantees{owners: map[specifier.Epoch]specifier.Identity{}}
 		h.jobs[id] = job
 	}
 	switch decision.Verdict {
@@ -148,13 +148,13 @@
 		job.epoch = decision.Epoch
 		if before, ok := job.owners[decision.Epoch]; ok {
 			must.Eq(t, before, owner)
-		} else if until := h.registrar.now.Add(left + specifier.KeyRetention); until.After(job.until) {
-			job.until = until
+		} else if until := h.registrar.now.Add(timeLeft + specifier.KeyRetention); until.After(job.keepUntil) {
+			job.keepUntil = until
 		}
 		job.owners[decision.Epoch] = owner
 	case specifier.Finished:
 		if job.answer == nil && len(job.owners) == 0 { // cancelled before it was accepted
-			job.until = h.registrar.now.Add(left + specifier.KeyRetention)
+			job.keepUntil = h.registrar.now.Add(timeLeft + specifier.KeyRetention)
 		}
 		if job.answer != nil {
 			must.Eq(t, *job.answer, decision.Answer)
@@ -165,14 +165,15 @@
 	}
 }
 
-// Guards against a broken promise: two owners under one epoch, an epoch that goes down, an answer
-// that changes, a key forgotten before its time, a request applied twice, a revision that reverts.
+// Guards against a decision that contradicts an earlier one: two owners in one epoch, an epoch that
+// decreases, an answer that changes, a submission that expires early, a request that is applied
+// twice, a revision that decreases.
 func TestPromisesHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := &history{registrar: New(3), jobs: map[specifier.JobID]*promised{}, applied: map[string]time.Time{}}
+		h := &decisionHistory{registrar: New(3), jobs: map[specifier.JobID]*guarantees{}, appliedAt: map[string]time.Time{}}
 		for i, batch := range drawBatches(t) {
 			h.registrar.Apply(uint64(i), Batch{Advance: batch.Advance})
-			h.forget(t)
+			h.removeExpired(t)
 			for _, command := range batch.Commands {
 				decision := h.registrar.Apply(uint64(i), Batch{Commands: []specifier.Command{command}})[0]
 				h.check(t, command, decision)
@@ -181,22 +182,22 @@
 	})
 }
 
-// Guards against a damaged or hostile snapshot that panics or is loaded in part.
+// Guards against a damaged or malicious snapshot that causes a panic or is loaded in part.
 func FuzzDecode(f *testing.F) {
-	b := newBench(f)
-	b.join(specifier.Entry, first)
-	b.want(specifier.Accepted, accept(1, first))
-	b.want(specifier.Finished, finish(1, first, 1, specifier.TaskFailed))
-	b.want(specifier.Finished, specifier.CancelJob{Job: specifier.JobID{2}})
-	b.want(specifier.Applied, change("r", "o", 0, "a"))
-	whole := encoded(f, b.registrar)
-	f.Add(whole)
-	f.Add(whole[:len(whole)-1])
-	f.Add(append(whole[:len(whole):len(whole)], 0))
+	populated := newFixture(f)
+	populated.join(specifier.Entry, firstEntry)
+	populated.mustDecide(specifier.Accepted, accept(1, firstEntry))
+	populated.mustDecide(specifier.Finished, finish(1, firstEntry, 1, specifier.TaskFailed))
+	populated.mustDecide(specifier.Finished, specifier.CancelJob{Job: specifier.JobID{2}})
+	populated.mustDecide(specifier.Applied, change("r", "o", 0, "a"))
+	image := encodeImage(f, populated.registrar)
+	f.Add(image)
+	f.Add(image[:len(image)-1])
+	f.Add(append(image[:len(image):len(image)], 0))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		decoded, err := Decode(bytes.NewReader(raw), 100)
 		if err == nil {
-			mustEncodeSame(t, decoded, restored(t, decoded))
+			mustEncodeSame(t, decoded, restoreFromImage(t, decoded))
 		}
 	})
 }
--- a/state/registrar/registrar.go
+++ b/state/registrar/registrar.go
@@ -7,14 +7,15 @@
 	"oleandertally/core/specifier"
 )
 
-// Registrar applies committed batches. It is used by one goroutine.
+// Registrar applies committed batches to the state. It is not safe for concurrent use.
 type Registrar struct {
-	// MaxSubmissions bounds the remembered submissions; more are refused, none is forgotten
-	// early. Decisions depend on it, so every batch that sets it changes it on all controllers.
+	// MaxSubmissions is the maximum number of stored submissions. At the limit new ones are refused
+	// and none expires early. Decisions depend on the limit, so it is changed by a batch, which sets
+	// it on all controllers.
 	MaxSubmissions int
 
-	now           time.Time // the log's clock, from time.Unix(0, 0)
-	index         uint64
+	now           time.Time // clock of the log, which starts at time.Unix(0, 0) and is advanced by batches
+	index         uint64    // log index of the last batch
 	submissions   map[specifier.JobID]submission
 	owners        container.Interner[specifier.Identity]
 	answers       container.Interner[answer]
@@ -22,13 +23,13 @@
 	members       map[string]specifier.Member
 	memberVersion uint64
 	departed      departures
-	draining      map[string]bool // by an operator, outlives restarts of the member
+	draining      map[string]bool // names that an operator drains; kept across restarts of the member
 	configuration specifier.Configuration
 	requests      requests
-	changed       string // operator of the newest change
+	lastOperator  string // operator of the latest configuration change
 }
 
-// New returns the empty state.
+// New returns a Registrar with an empty state.
 func New(maxSubmissions int) *Registrar {
 	return &Registrar{
 		MaxSubmissions: maxSubmissions,
@@ -45,16 +46,16 @@
 	}
 }
 
-// Apply applies the batch at index and returns one decision for each command.
+// Apply applies the batch at the log index and returns one decision for each command.
 func (r *Registrar) Apply(index uint64, batch Batch) []specifier.Decision {
 	r.index = index
 	r.now = r.now.Add(max(batch.Advance, 0))
 	if batch.MaxSubmissions > 0 {
 		r.MaxSubmissions = batch.MaxSubmissions
 	}
-	r.forget()
-	r.forgetMembers()
-	r.requests.forget(r.now)
+	r.expireSubmissions()
+	r.expireMembers()
+	r.requests.expire(r.now)
 	decisions := make([]specifier.Decision, len(batch.Commands))
 	for i, command := range batch.Commands {
 		decisions[i] = r.apply(command)
@@ -66,14 +67,14 @@
 	return decisions
 }
 
-// Index returns the index of the last batch applied.
+// Index returns the log index of the last applied batch.
 func (r *Registrar) Index() uint64 { return r.index }
 
-// Submissions returns how many submissions are remembered.
+// SubmissionCount returns the number of stored submissions.
 func (r *Registrar) SubmissionCount() int { return len(r.submissions) }
 
-// Configuration returns the configuration in force. It must not be changed; a later change
-// replaces its maps and leaves them as they are.
+// Configuration returns the current configuration, which must not be modified. A later change
+// replaces the maps and does not modify the returned ones.
 func (r *Registrar) Configuration() specifier.Configuration { return r.configuration }
 
 func (r *Registrar) apply(command specifier.Command) specifier.Decision {
@@ -97,7 +98,7 @@
 	case specifier.DrainMember:
 		return r.drain(command)
 	case specifier.ChangeConfiguration:
-		return r.change(command)
+		return r.applyChange(command)
 	}
 	return specifier.Decision{Verdict: specifier.Rejected, Detail: "unknown command"}
 }
--- a/state/registrar/request.go
+++ b/state/registrar/request.go
@@ -6,11 +6,11 @@
 	"oleandertally/core/specifier"
 )
 
-// request is the record of one configuration change that was decided, for a resend.
+// request records the decision on a configuration change, to answer a resend.
 type request struct {
-	id       string
-	digest   specifier.Digest // of its content
-	operator string
-	decision specifier.Decision
-	keep     time.Time
+	id        string
+	digest    specifier.Digest // of the change
+	operator  string
+	decision  specifier.Decision
+	keepUntil time.Time
 }
--- a/state/registrar/seconds.go
+++ b/state/registrar/seconds.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// seconds is a time on the log's clock, which starts at 0, in a third of the space of time.Time.
+// seconds is a time on the clock of the log, which starts at 0. It takes 4 bytes instead of the 24 of a time.Time.
 type seconds uint32
 
-// keepMargin covers what agents count longer than the registrar: they start to count a
-// retention when a message arrives, and clocks of hosts run apart by a fraction of a second in
-// an hour. A key must be forgotten by agents before its epochs begin again at 1.
-const keepMargin = 2 * time.Second
+// retentionMargin keeps submissions in the registrar longer than on the agents. Agents start a
+// retention period later, when a message arrives, and the clocks of hosts drift apart by a fraction of
+// a second in an hour. Agents must drop a key before its epochs restart at 1.
+const retentionMargin = 2 * time.Second
 
-// keepUntil rounds up, so that nothing is forgotten early.
-func keepUntil(at time.Time) seconds {
-	return seconds(at.Add(keepMargin + time.Second - 1).Unix())
+// expiryTime adds retentionMargin to at and rounds up, so that nothing expires early.
+func expiryTime(at time.Time) seconds {
+	return seconds(at.Add(retentionMargin + time.Second - 1).Unix())
 }
 
-// reached reports whether now is at s or later.
+// reached reports whether now is at or after s.
 func (s seconds) reached(now time.Time) bool { return now.Unix() >= int64(s) }
--- a/state/registrar/submission.go
+++ b/state/registrar/submission.go
@@ -1,14 +1,14 @@
 package registrar
 
-// submission is the record of one job. It holds no pointers, so that the garbage collector does
-// not visit millions of records.
+// submission is the record of one job. It contains no pointers, so that the garbage collector does
+// not scan millions of records.
 type submission struct {
-	digest   digest
-	accepted uint64  // index of the batch that accepted it first, or again after a release
-	epoch    uint32  // of its owner
-	keep     seconds // on the log's clock
-	owner    uint32  // number in Registrar.owners
-	answer   uint32  // number in Registrar.answers
-	held     seconds // until when a refusal is repeated
-	phase    phase
+	digest        digest
+	acceptedIndex uint64  // log index of the batch of the first acceptance, or of the latest one after a release or refusal
+	epoch         uint32  // of the current owner
+	keepUntil     seconds // expiry time on the clock of the log
+	owner         uint32  // interned in Registrar.owners
+	answer        uint32  // interned in Registrar.answers
+	refusedUntil  seconds // a resend gets the same refusal until this time
+	phase         phase
 }
--- a/state/registrar/submissions.go
+++ b/state/registrar/submissions.go
@@ -7,221 +7,222 @@
 )
 
 func (r *Registrar) accept(c specifier.AcceptJob) specifier.Decision {
-	known, ok := r.submissions[c.Job]
+	record, ok := r.submissions[c.Job]
 	switch {
-	case ok && known.phase == cancelled:
-		return r.finished(known)
-	case ok && known.digest != shorten(c.Digest) && !r.refusalOver(known):
+	case ok && record.phase == cancelled:
+		return r.finishedDecision(record)
+	case ok && record.digest != truncateDigest(c.Digest) && !r.refusalExpired(record):
 		return specifier.Decision{Verdict: specifier.Conflict, Detail: "the key was used with another body"}
-	case ok && (known.phase == finished || known.phase == refused && !r.refusalOver(known)):
-		return r.finished(known)
+	case ok && (record.phase == finished || record.phase == refused && !r.refusalExpired(record)):
+		return r.finishedDecision(record)
 	case !r.mayOwn(c.Owner):
 		return specifier.Decision{Verdict: specifier.Fenced, Detail: c.Owner.String() + " is not an entry that is up"}
-	case ok && known.phase == owned && r.owners.Get(known.owner) == c.Owner:
-		// The decision of an earlier proposal was lost on its way.
-		return specifier.Decision{Verdict: specifier.Accepted, Epoch: specifier.Epoch(known.epoch)}
-	case ok && known.phase != released && known.phase != refused:
-		// An entry that took the job over is attached to itself: tasks of the former owner may
-		// run, so it must propose TakeOverJob again and fence.
-		return r.attached(known)
+	case ok && record.phase == owned && r.owners.Get(record.owner) == c.Owner:
+		// The entry did not receive the decision on its earlier proposal.
+		return specifier.Decision{Verdict: specifier.Accepted, Epoch: specifier.Epoch(record.epoch)}
+	case ok && record.phase != released && record.phase != refused:
+		// Attached is also the decision for an entry that took the job over itself. Tasks of the
+		// previous owner may still run, so it must propose TakeOverJob again and fence.
+		return r.attachedDecision(record)
 	case c.Revision < r.configuration.Revision:
 		return specifier.Decision{Verdict: specifier.Stale}
 	case !ok && len(r.submissions) >= r.MaxSubmissions:
 		return specifier.Decision{Verdict: specifier.Full}
 	}
-	known.digest, known.accepted, known.phase = shorten(c.Digest), r.index, owned
-	r.answers.Drop(known.answer)
-	known.answer, known.held = 0, 0
-	known.epoch++
-	r.own(&known, c.Owner)
-	r.put(c.Job, known, c.TimeLeft)
-	return specifier.Decision{Verdict: specifier.Accepted, Epoch: specifier.Epoch(known.epoch)}
+	record.digest, record.acceptedIndex, record.phase = truncateDigest(c.Digest), r.index, owned
+	r.answers.Drop(record.answer)
+	record.answer, record.refusedUntil = 0, 0
+	record.epoch++
+	r.setOwner(&record, c.Owner)
+	r.store(c.Job, record, c.TimeLeft)
+	return specifier.Decision{Verdict: specifier.Accepted, Epoch: specifier.Epoch(record.epoch)}
 }
 
 func (r *Registrar) takeOver(c specifier.TakeOverJob) specifier.Decision {
-	known, ok := r.submissions[c.Job]
-	owner := r.owners.Get(known.owner)
+	record, ok := r.submissions[c.Job]
+	owner := r.owners.Get(record.owner)
 	switch {
 	case !ok:
 		return specifier.Decision{Verdict: specifier.Rejected, Detail: "Job: unknown"}
-	case known.phase == cancelled:
-		return r.finished(known)
-	case known.digest != shorten(c.Digest):
+	case record.phase == cancelled:
+		return r.finishedDecision(record)
+	case record.digest != truncateDigest(c.Digest):
 		return specifier.Decision{Verdict: specifier.Conflict, Detail: "the key was used with another body"}
-	case known.phase == finished:
-		return r.finished(known)
-	case known.phase == released || known.phase == refused:
+	case record.phase == finished:
+		return r.finishedDecision(record)
+	case record.phase == released || record.phase == refused:
 		return r.accept(specifier.AcceptJob{Job: c.Job, Digest: c.Digest, Owner: c.Owner, Revision: c.Revision, TimeLeft: c.TimeLeft})
 	case !r.mayOwn(c.Owner):
 		return specifier.Decision{Verdict: specifier.Fenced, Detail: c.Owner.String() + " is not an entry that is up"}
 	case owner == c.Owner:
-		return r.tookOver(known)
-	case specifier.Epoch(known.epoch) != c.Replaces || r.isUp(owner):
-		return r.attached(known)
+		return r.takenOverDecision(record)
+	case specifier.Epoch(record.epoch) != c.Replaces || r.isUp(owner):
+		return r.attachedDecision(record)
 	case c.Revision < r.configuration.Revision:
 		return specifier.Decision{Verdict: specifier.Stale}
 	}
-	known.phase = takenOver
-	known.epoch++
-	r.own(&known, c.Owner)
-	r.put(c.Job, known, c.TimeLeft)
-	r.departed.extend(known.accepted, r.keepTime(c.TimeLeft).Add(2*keepMargin))
-	return r.tookOver(known)
+	record.phase = takenOver
+	record.epoch++
+	r.setOwner(&record, c.Owner)
+	r.store(c.Job, record, c.TimeLeft)
+	r.departed.extendRetention(record.acceptedIndex, r.retentionEnd(c.TimeLeft).Add(2*retentionMargin))
+	return r.takenOverDecision(record)
 }
 
 func (r *Registrar) finish(c specifier.FinishJob) specifier.Decision {
-	known, ok := r.submissions[c.Job]
-	owner := r.owners.Get(known.owner) == c.Owner && specifier.Epoch(known.epoch) == c.Epoch
+	record, ok := r.submissions[c.Job]
+	isOwner := r.owners.Get(record.owner) == c.Owner && specifier.Epoch(record.epoch) == c.Epoch
 	switch {
 	case !ok:
 		return specifier.Decision{Verdict: specifier.Rejected, Detail: "Job: unknown"}
 	case c.Answer.Outcome == "":
 		return specifier.Decision{Verdict: specifier.Rejected, Detail: "Answer.Outcome: is empty"}
-	case !owner || known.phase == released || known.phase == cancelled:
+	case !isOwner || record.phase == released || record.phase == cancelled:
 		return specifier.Decision{Verdict: specifier.Fenced}
-	case known.phase == finished || known.phase == refused:
-		return r.finished(known)
+	case record.phase == finished || record.phase == refused:
+		return r.finishedDecision(record)
 	}
-	known.phase = finished
+	record.phase = finished
 	if c.Answer.Outcome == specifier.NotRun && c.Answer.Reason != specifier.Cancelled {
-		known.phase, known.held = refused, keepUntil(r.now.Add(specifier.RefusalHold))
+		record.phase, record.refusedUntil = refused, expiryTime(r.now.Add(specifier.RefusalHold))
 	}
-	known.answer = r.answers.Hold(answerOf(c.Answer))
-	r.submissions[c.Job] = known
-	return r.finished(known)
+	record.answer = r.answers.Hold(newAnswer(c.Answer))
+	r.submissions[c.Job] = record
+	return r.finishedDecision(record)
 }
 
 func (r *Registrar) release(c specifier.ReleaseJob) specifier.Decision {
-	known, ok := r.submissions[c.Job]
+	record, ok := r.submissions[c.Job]
 	switch {
 	case !ok:
 		return specifier.Decision{Verdict: specifier.Rejected, Detail: "Job: unknown"}
-	case known.phase == finished || known.phase == cancelled || known.phase == refused:
+	case record.phase == finished || record.phase == cancelled || record.phase == refused:
 		return specifier.Decision{Verdict: specifier.Fenced}
-	case r.owners.Get(known.owner) != c.Owner || specifier.Epoch(known.epoch) != c.Epoch:
+	case r.owners.Get(record.owner) != c.Owner || specifier.Epoch(record.epoch) != c.Epoch:
 		return specifier.Decision{Verdict: specifier.Fenced}
 	}
-	known.phase = released
-	r.submissions[c.Job] = known
+	record.phase = released
+	r.submissions[c.Job] = record
 	return specifier.Decision{Verdict: specifier.Applied}
 }
 
-// refuse records the refusal of a job that is not known, or was released or refused before.
+// refuse records the refusal of a job that is unknown or was released or refused before.
 func (r *Registrar) refuse(c specifier.RefuseJob) specifier.Decision {
-	known, ok := r.submissions[c.Job]
+	record, ok := r.submissions[c.Job]
 	switch {
-	case ok && known.phase == cancelled:
-		return r.finished(known)
-	case ok && known.phase != released && known.phase != refused && known.digest != shorten(c.Digest):
+	case ok && record.phase == cancelled:
+		return r.finishedDecision(record)
+	case ok && record.phase != released && record.phase != refused && record.digest != truncateDigest(c.Digest):
 		return specifier.Decision{Verdict: specifier.Conflict, Detail: "the key was used with another body"}
-	case ok && (known.phase == finished || known.phase == refused && !r.refusalOver(known)):
-		return r.finished(known)
-	case ok && known.phase != released && known.phase != refused:
-		return r.attached(known)
+	case ok && (record.phase == finished || record.phase == refused && !r.refusalExpired(record)):
+		return r.finishedDecision(record)
+	case ok && record.phase != released && record.phase != refused:
+		return r.attachedDecision(record)
 	case c.Revision < r.configuration.Revision:
 		return specifier.Decision{Verdict: specifier.Stale}
 	case !ok && len(r.submissions) >= r.MaxSubmissions:
 		return specifier.Decision{Verdict: specifier.Full}
 	}
-	r.answers.Drop(known.answer)
-	known.answer = r.answers.Hold(answerOf(c.Answer))
-	known.digest, known.phase = shorten(c.Digest), refused
-	known.held = keepUntil(r.now.Add(specifier.RefusalHold))
+	r.answers.Drop(record.answer)
+	record.answer = r.answers.Hold(newAnswer(c.Answer))
+	record.digest, record.phase = truncateDigest(c.Digest), refused
+	record.refusedUntil = expiryTime(r.now.Add(specifier.RefusalHold))
 	if !ok {
-		known.accepted = r.index
+		record.acceptedIndex = r.index
 	}
-	r.remember(c.Job, known, known.held)
-	return r.finished(known)
+	r.storeUntil(c.Job, record, record.refusedUntil)
+	return r.finishedDecision(record)
 }
 
 // refusalOver reports whether a refused key may be accepted again.
-func (r *Registrar) refusalOver(known submission) bool {
-	return known.phase == refused && known.held.reached(r.now)
+func (r *Registrar) refusalExpired(record submission) bool {
+	return record.phase == refused && record.refusedUntil.reached(r.now)
 }
 
-// cancel leaves a record of a job that nobody owns, so that a submission that arrives later is
-// answered with NotRun. Its deadline is unknown, so the record is kept as for the latest one.
+// cancel records the cancellation of a job without an owner, so that a submission that arrives later
+// is answered with NotRun. The deadline of the job is unknown, so the record is kept as long as for
+// the latest possible one.
 func (r *Registrar) cancel(c specifier.CancelJob) specifier.Decision {
-	known, ok := r.submissions[c.Job]
+	record, ok := r.submissions[c.Job]
 	switch {
-	case ok && (known.phase == finished || known.phase == cancelled):
-		return r.finished(known)
-	case ok && known.phase != released && known.phase != refused:
-		return r.attached(known)
+	case ok && (record.phase == finished || record.phase == cancelled):
+		return r.finishedDecision(record)
+	case ok && record.phase != released && record.phase != refused:
+		return r.attachedDecision(record)
 	case !ok && len(r.submissions) >= r.MaxSubmissions:
 		return specifier.Decision{Verdict: specifier.Full}
 	}
-	r.answers.Drop(known.answer)
-	known.answer = r.answers.Hold(answerOf(specifier.Refuse(specifier.Cancelled, "cancelled before it was accepted")))
-	if known.epoch > 0 {
-		known.phase = finished
-		r.submissions[c.Job] = known
-		return r.finished(known)
+	r.answers.Drop(record.answer)
+	record.answer = r.answers.Hold(newAnswer(specifier.Refuse(specifier.Cancelled, "cancelled before it was accepted")))
+	if record.epoch > 0 {
+		record.phase = finished
+		r.submissions[c.Job] = record
+		return r.finishedDecision(record)
 	}
-	known.accepted, known.phase = r.index, cancelled
-	r.put(c.Job, known, specifier.MaxTimeLeft)
-	return r.finished(known)
+	record.acceptedIndex, record.phase = r.index, cancelled
+	r.store(c.Job, record, specifier.MaxTimeLeft)
+	return r.finishedDecision(record)
 }
 
-func (r *Registrar) finished(known submission) specifier.Decision {
-	decision := r.attached(known)
-	decision.Verdict, decision.Answer = specifier.Finished, r.answers.Get(known.answer).whole()
+func (r *Registrar) finishedDecision(record submission) specifier.Decision {
+	decision := r.attachedDecision(record)
+	decision.Verdict, decision.Answer = specifier.Finished, r.answers.Get(record.answer).expand()
 	return decision
 }
 
-// attached names the address of the owner only while that incarnation is up: another one at the
-// same name holds neither the job nor its results.
-func (r *Registrar) attached(known submission) specifier.Decision {
-	owner := r.owners.Get(known.owner)
-	decision := specifier.Decision{Verdict: specifier.Attached, Owner: owner, OwnerDown: true, Epoch: specifier.Epoch(known.epoch)}
+// attachedDecision includes the address of the owner only while that incarnation is up. Another
+// incarnation of the same name has neither the job nor its results.
+func (r *Registrar) attachedDecision(record submission) specifier.Decision {
+	owner := r.owners.Get(record.owner)
+	decision := specifier.Decision{Verdict: specifier.Attached, Owner: owner, OwnerDown: true, Epoch: specifier.Epoch(record.epoch)}
 	if r.isUp(owner) {
 		decision.OwnerAddr, decision.OwnerDown = r.members[owner.Name].Addr, false
 	}
 	return decision
 }
 
-func (r *Registrar) tookOver(known submission) specifier.Decision {
-	return specifier.Decision{Verdict: specifier.Accepted, Epoch: specifier.Epoch(known.epoch),
-		Departed: r.departed.agentsSince(known.accepted)}
+func (r *Registrar) takenOverDecision(record submission) specifier.Decision {
+	return specifier.Decision{Verdict: specifier.Accepted, Epoch: specifier.Epoch(record.epoch),
+		Departed: r.departed.agentsSince(record.acceptedIndex)}
 }
 
-func (r *Registrar) own(known *submission, owner specifier.Identity) {
-	former := known.owner
-	known.owner = r.owners.Hold(owner)
-	r.owners.Drop(former)
+func (r *Registrar) setOwner(record *submission, owner specifier.Identity) {
+	previous := record.owner
+	record.owner = r.owners.Hold(owner)
+	r.owners.Drop(previous)
 }
 
-// keepTime returns until when a submission with this much time left is remembered.
-func (r *Registrar) keepTime(left time.Duration) time.Time {
-	left = min(max(left, 0), specifier.MaxTimeLeft)
-	return r.now.Add(left + specifier.KeyRetention)
+// retentionEnd returns the time until which a submission with the given time left is kept.
+func (r *Registrar) retentionEnd(timeLeft time.Duration) time.Time {
+	timeLeft = min(max(timeLeft, 0), specifier.MaxTimeLeft)
+	return r.now.Add(timeLeft + specifier.KeyRetention)
 }
 
-// put stores the submission and extends how long it is remembered, never shortens it.
-func (r *Registrar) put(id specifier.JobID, known submission, left time.Duration) {
-	r.remember(id, known, keepUntil(r.keepTime(left)))
+// store stores the submission and extends its retention if needed. The retention is never shortened.
+func (r *Registrar) store(id specifier.JobID, record submission, timeLeft time.Duration) {
+	r.storeUntil(id, record, expiryTime(r.retentionEnd(timeLeft)))
 }
 
-func (r *Registrar) remember(id specifier.JobID, known submission, until seconds) {
-	if until > known.keep {
-		known.keep = until
-		r.expiring.Push(expiry{keep: until, job: id})
+func (r *Registrar) storeUntil(id specifier.JobID, record submission, keepUntil seconds) {
+	if keepUntil > record.keepUntil {
+		record.keepUntil = keepUntil
+		r.expiring.Push(expiry{keepUntil: keepUntil, job: id})
 	}
-	r.submissions[id] = known
+	r.submissions[id] = record
 }
 
-// forget drops the submissions whose time is over. An entry of the heap may be out of date:
-// the submission's own time decides.
-func (r *Registrar) forget() {
+// expireSubmissions removes the expired submissions. An entry of the heap may be outdated, because
+// the retention was extended, so keepUntil of the submission decides.
+func (r *Registrar) expireSubmissions() {
 	for {
 		next, ok := r.expiring.Peek()
-		if !ok || !next.keep.reached(r.now) {
+		if !ok || !next.keepUntil.reached(r.now) {
 			return
 		}
 		r.expiring.Pop()
-		if known, ok := r.submissions[next.job]; ok && known.keep.reached(r.now) {
-			r.owners.Drop(known.owner)
-			r.answers.Drop(known.answer)
+		if record, ok := r.submissions[next.job]; ok && record.keepUntil.reached(r.now) {
+			r.owners.Drop(record.owner)
+			r.answers.Drop(record.answer)
 			delete(r.submissions, next.job)
 		}
 	}
