--- a/state/registrar/changes_test.go
+++ b/state/registrar/changes_test.go
@@ -49,12 +49,12 @@
 		},
 		"future revision": func(f *fixture) { f.mustDecide(specifier.Rejected, change("r1", "ana", 1, "a")) },
 		"no request id":   func(f *fixture) { f.mustDecide(specifier.Rejected, change("", "ana", 0, "a")) },
-		"forgotten request": func(f *fixture) {
+		"expired request": func(f *fixture) {
 			f.mustDecide(specifier.Applied, change("r1", "ana", 0, "a"))
 			f.advance(specifier.RequestRetention)
 			must.Eq(f.t, "ana", f.mustDecide(specifier.Conflict, change("r1", "ana", 0, "a")).Operator)
 		},
-		"bound": func(f *fixture) {
+		"request limit": func(f *fixture) {
 			for i := range specifier.MaxRequests + 1 {
 				f.apply(change(fmt.Sprint(i), "ana", specifier.Revision(i), "a"))
 			}
@@ -84,7 +84,7 @@
 			member, _ := f.registrar.Member("agent-1")
 			must.Eq(f.t, specifier.Up, member.State)
 		},
-		"down member is forgotten": func(f *fixture) {
+		"down member expires": func(f *fixture) {
 			f.mustDecide(specifier.Applied, specifier.EndMember{Identity: agent})
 			f.mustDecide(specifier.Fenced, specifier.JoinMember{Member: member(specifier.Agent, agent)})
 			f.advance(2 * time.Hour)
@@ -100,7 +100,7 @@
 			f.advance(2 * time.Hour)
 			f.join(specifier.Agent, identity("agent-1", 999))
 		},
-		"too many": func(f *fixture) {
+		"member limit": func(f *fixture) {
 			for i := 3; i < specifier.MaxMembers; i++ {
 				f.join(specifier.Agent, identity(fmt.Sprint(i), 1))
 			}
--- a/state/registrar/property_test.go
+++ b/state/registrar/property_test.go
@@ -99,7 +99,7 @@
 // removeExpired removes the jobs that the registrar has removed and asserts that they had expired.
 func (h *decisionHistory) removeExpired(t *rapid.T) {
 	for id, job := range h.jobs {
-		if _, remembered := h.registrar.submissions[id]; !remembered {
+		if _, stored := h.registrar.submissions[id]; !stored {
 			must.False(t, job.keepUntil.After(h.registrar.now))
 			delete(h.jobs, id)
 		}
