--- a/state/journaler/segment.go
+++ b/state/journaler/segment.go
@@ -11,7 +11,7 @@
 // segment is one file of the log.
 type segment struct {
 	number       uint64
-	highestIndex uint64 // highest index of a record ever written to the file; 0 if the file is no longer needed
+	highestIndex uint64 // highest index of a record ever written to the file; 0 if no record of the file is needed
 }
 
 func (s segment) name() string { return fmt.Sprintf("%016d%s", s.number, segmentSuffix) }
--- a/state/snapshotter/store.go
+++ b/state/snapshotter/store.go
@@ -73,8 +73,8 @@
 	return nil, ErrNoSnapshot
 }
 
-// Save stores the output of write as the body of a snapshot and returns once it is durable. It
-// then removes earlier snapshots; open ones stay readable.
+// Save stores the output of write as the body of a snapshot. Once the file is durable, Save removes
+// earlier snapshots and returns. Snapshots that are open stay readable.
 func (s *Store) Save(meta Meta, write func(io.Writer) error) error {
 	if len(meta.Extra) > MaxExtra {
 		return errors.Newf("extra has %d bytes, expected at most %d", len(meta.Extra), MaxExtra)
