--- a/controller/server/disk.go
+++ b/controller/server/disk.go
@@ -36,7 +36,7 @@
 // openDisk reads the data folder and closes it after an error. It returns what the log recovers and the content of the newest snapshot.
 func openDisk(folder folder, log zerolog.Logger, mailbox *looper.Mailbox[driver.Event]) (*disk, recovery, error) {
 	d := &disk{mailbox: mailbox, folder: folder, synced: func(time.Duration) {}, queue: looper.NewOutbox[driver.Action](), saves: looper.NewOutbox[driver.Action]()}
-	d.journal = &journaler.Journal{Folder: folder, Disk: rand.Uint64(), Log: log}
+	d.journal = &journaler.Journal{Folder: folder, DiskID: rand.Uint64(), Log: log}
 	d.store = &snapshotter.Store{Folder: folder, Log: log}
 	recovered, err := d.recover()
 	if err != nil {
@@ -54,7 +54,7 @@
 	if err := d.store.Clean(); err != nil {
 		return recovery{}, err
 	}
-	r := recovery{disk: content.Disk}
+	r := recovery{disk: content.DiskID}
 	if content.State.Term > 0 {
 		r.log.State = replicator.HardState{Term: replicator.Term(content.State.Term),
 			Vote: replicator.ServerID{Name: content.State.Vote, Disk: content.State.VoteDisk}}
@@ -77,7 +77,7 @@
 
 func (d *disk) readSnapshot(r *recovery) error {
 	newest, err := d.store.Newest()
-	if errors.Is(err, snapshotter.ErrNone) {
+	if errors.Is(err, snapshotter.ErrNoSnapshot) {
 		return nil
 	}
 	if err != nil {
@@ -131,7 +131,7 @@
 		case replicator.Truncate:
 			operations, last = append(operations, journaler.Truncate{From: uint64(action.From)}), action.Write
 		case replicator.Persist:
-			state := journaler.State{Term: uint64(action.State.Term), Vote: action.State.Vote.Name, VoteDisk: action.State.Vote.Disk}
+			state := journaler.HardState{Term: uint64(action.State.Term), Vote: action.State.Vote.Name, VoteDisk: action.State.Vote.Disk}
 			operations, last = append(operations, journaler.Persist{State: state}), action.Write
 		case replicator.Compact:
 			operations = append(operations, journaler.Compact{Through: uint64(action.Through)})
--- /dev/null
+++ b/state/journaler/hardstate.go
@@ -0,0 +1,18 @@
+package journaler
+
+import "oleandertally/core/encoder"
+
+// HardState is the election state of a consensus server that must survive a restart.
+type HardState struct {
+	Term     uint64
+	Vote     string // name of the server that got the vote in Term; empty if none did
+	VoteDisk uint64 // disk identity of that server
+}
+
+func (s HardState) encode() *encoder.JournalState {
+	return &encoder.JournalState{Term: s.Term, Vote: s.Vote, VoteDisk: s.VoteDisk}
+}
+
+func decodeHardState(m *encoder.JournalState) HardState {
+	return HardState{Term: m.GetTerm(), Vote: m.GetVote(), VoteDisk: m.GetVoteDisk()}
+}
--- a/state/registrar/changed.go
+++ /dev/null
@@ -1,4 +0,0 @@
-package registrar
-
-// Changed returns the operator who made the newest change of the configuration.
-func (r *Registrar) Changed() string { return r.changed }
