--- a/agent/main.go
+++ b/agent/main.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "agent:", err)
 	}
-	os.Exit(launcher.Exit(err))
+	os.Exit(launcher.ExitCode(err))
 }
 
 // run runs the agent until its shutdown, and writes the log to out.
--- a/controller/main.go
+++ b/controller/main.go
@@ -24,5 +24,5 @@
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "controller:", err)
 	}
-	os.Exit(launcher.Exit(err))
+	os.Exit(launcher.ExitCode(err))
 }
--- a/controller/run_test.go
+++ b/controller/run_test.go
@@ -166,7 +166,7 @@
 		"not this role's": {"-settings", "../examples/settings/entry.yaml"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			must.Eq(t, launcher.ExitSettings, launcher.Exit(run(context.Background(), arguments, nil, io.Discard)))
+			must.Eq(t, launcher.ExitSettings, launcher.ExitCode(run(context.Background(), arguments, nil, io.Discard)))
 		})
 	}
 }
--- a/core/launcher/exit.go
+++ b/core/launcher/exitcode.go
@@ -17,8 +17,8 @@
 // ErrSettings marks the errors of a process that could not start.
 var ErrSettings = errors.New("the process can't start")
 
-// Exit returns the exit code for what a program returned.
-func Exit(err error) int {
+// ExitCode returns the exit code for what a program returned.
+func ExitCode(err error) int {
 	var cut *supervisor.CutOff
 	switch {
 	case err == nil:
--- a/core/launcher/launcher.go
+++ b/core/launcher/launcher.go
@@ -27,7 +27,7 @@
 	Signals <-chan os.Signal
 }
 
-// Run returns nil after a shutdown that cut nothing off. Exit gives the exit code of what it returns.
+// Run returns nil after a shutdown that cut nothing off. ExitCode gives the exit code of what it returns.
 func (l *Launcher) Run(ctx context.Context) error {
 	metrics, err := net.Listen("tcp", l.Process.MetricsAddr.String())
 	if err != nil {
--- a/entry/main.go
+++ b/entry/main.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "entry:", err)
 	}
-	os.Exit(launcher.Exit(err))
+	os.Exit(launcher.ExitCode(err))
 }
 
 // run returns after a shutdown. The log goes to out.
