--- a/core/launcher/exitcode.go
+++ b/core/launcher/exitcode.go
@@ -19,7 +19,7 @@
 
 // ExitCode returns the exit code for what a program returned.
 func ExitCode(err error) int {
-	var cut *supervisor.CutOff
+	var cut *supervisor.CutOffError
 	switch {
 	case err == nil:
 		return ExitStopped
--- a/core/supervisor/cutoff.go
+++ b/core/supervisor/cutofferror.go
@@ -5,21 +5,21 @@
 	"strings"
 )
 
-// CutOff is the error of a shutdown that ended before everything had stopped.
-type CutOff struct {
+// CutOffError is the error of a shutdown that ended before everything had stopped.
+type CutOffError struct {
 	Cause error    // ErrStopDeadline or ErrInterrupted
 	Steps []string // not finished
 	Parts []string // still running
 }
 
 // Error names what was cut off.
-func (c *CutOff) Error() string {
+func (c *CutOffError) Error() string {
 	return fmt.Sprintf("shutdown cut off: %v; steps not finished: %s; parts still running: %s",
 		c.Cause, listed(c.Steps), listed(c.Parts))
 }
 
 // Unwrap returns the cause.
-func (c *CutOff) Unwrap() error { return c.Cause }
+func (c *CutOffError) Unwrap() error { return c.Cause }
 
 func listed(names []string) string {
 	if len(names) == 0 {
--- a/core/supervisor/supervisor.go
+++ b/core/supervisor/supervisor.go
@@ -23,7 +23,7 @@
 }
 
 // Run waits for a signal, the end of ctx or the failure of a part, and then shuts down. It
-// returns nil after a whole shutdown, the failure of a part, or a *CutOff, after which the
+// returns nil after a whole shutdown, the failure of a part, or a *CutOffError, after which the
 // process must exit: what was cut off may still be running.
 func (s *Supervisor) Run(ctx context.Context) error {
 	if err := s.checkFields(); err != nil {
@@ -132,7 +132,7 @@
 
 func (s *Supervisor) finish(stopping context.Context, steps, parts []string) error {
 	if len(steps)+len(parts) > 0 {
-		cut := &CutOff{Cause: context.Cause(stopping), Steps: steps, Parts: parts}
+		cut := &CutOffError{Cause: context.Cause(stopping), Steps: steps, Parts: parts}
 		s.Log.Error().Str(FieldEvent, "ShutdownCutOff").Err(cut.Cause).
 			Strs("Steps", steps).Strs("Parts", parts).Msg("shutdown cut off")
 		return errors.CombineErrors(cut, s.Group.Err())
--- a/core/supervisor/supervisor_test.go
+++ b/core/supervisor/supervisor_test.go
@@ -52,7 +52,7 @@
 
 func mustCutOff(t *testing.T, err, cause error, steps, parts []string) {
 	t.Helper()
-	var cut *CutOff
+	var cut *CutOffError
 	must.True(t, errors.As(err, &cut), must.Sprintf("expected a cut off shutdown, got %v", err))
 	must.ErrorIs(t, cut, cause)
 	must.Eq(t, steps, cut.Steps)
