--- a/agent/runner/agent.go
+++ b/agent/runner/agent.go
@@ -137,10 +137,10 @@
 	a.lease = registrant.NewLease()
 	a.lease.Clock = time.Now
 	a.lease.Renewed = func(left time.Duration) {
-		a.Health.Meet(conditionLease)
+		a.Health.SetMet(conditionLease)
 		a.Metrics.SetLeaseMargin(left)
 	}
-	a.lease.Lapsed = func() { a.Health.Miss(conditionLease, "no controller has renewed it in time") }
+	a.lease.Lapsed = func() { a.Health.SetUnmet(conditionLease, "no controller has renewed it in time") }
 }
 
 // Run serves until ctx ends, which aborts the calls to the upstream; Steps stop an agent gracefully. Run calls Open
@@ -236,9 +236,9 @@
 		a.streams.PutAll(&encoder.AgentMessage{Load: listener.EncodeLoad(action.Load)})
 		a.registrant.Announce(a.member(action.Load.Slots))
 		if action.Load.Slots > 0 {
-			a.Health.Meet(conditionUpstream)
+			a.Health.SetMet(conditionUpstream)
 		} else {
-			a.Health.Miss(conditionUpstream, "takes no work")
+			a.Health.SetUnmet(conditionUpstream, "takes no work")
 		}
 	case executor.RequestRelease:
 		a.streams.Put(action.Entry, listener.EncodeRequestRelease(action))
--- a/controller/server/health.go
+++ b/controller/server/health.go
@@ -27,9 +27,9 @@
 
 func (c *Controller) followed(log replicator.BecameFollower) {
 	if log.Leader.IsZero() {
-		c.Health.Miss(leaderKnown, "no leader is known")
+		c.Health.SetUnmet(leaderKnown, "no leader is known")
 	} else {
-		c.Health.Meet(leaderKnown)
+		c.Health.SetMet(leaderKnown)
 	}
 	c.Log.Info().Str("Event", "BecameFollower").Uint64("Term", uint64(log.Term)).Str("Peer", log.Leader.Name).Msg("this controller does not lead")
 }
--- a/controller/server/perform.go
+++ b/controller/server/perform.go
@@ -53,7 +53,7 @@
 		c.peers.servers = log.Servers
 		c.queues.setServers(log.Servers)
 	case replicator.BecameLeader:
-		c.Health.Meet(leaderKnown)
+		c.Health.SetMet(leaderKnown)
 		c.queues.setLeader(true, c.Addr)
 		c.Log.Info().Str("Event", "BecameLeader").Uint64("Term", uint64(log.Term)).Msg("this controller leads")
 	case replicator.BecameFollower:
--- a/core/supervisor/health.go
+++ b/core/supervisor/health.go
@@ -35,15 +35,15 @@
 	return h
 }
 
-// Meet records that condition holds.
-func (h *Health) Meet(condition string) {
+// SetMet records that condition holds.
+func (h *Health) SetMet(condition string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	delete(h.unmet, condition)
 }
 
-// Miss records that condition does not hold, and why.
-func (h *Health) Miss(condition, reason string) {
+// SetUnmet records that condition does not hold, and why.
+func (h *Health) SetUnmet(condition, reason string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.unmet[condition] = reason
--- a/core/supervisor/health_test.go
+++ b/core/supervisor/health_test.go
@@ -22,13 +22,13 @@
 func TestReady(t *testing.T) {
 	// Guards against a load balancer that sends work to a process that cannot do it.
 	h := NewHealth("Leader", "Profiles")
-	h.Meet("Profiles")
+	h.SetMet("Profiles")
 	mustAnswer(t, h, "/readyz", 503, `{"Ready":false,"Unmet":["Leader: starting"]}`)
-	h.Meet("Leader")
+	h.SetMet("Leader")
 	mustAnswer(t, h, "/readyz", 200, `{"Ready":true,"Unmet":[]}`)
-	h.Miss("Leader", "no majority")
+	h.SetUnmet("Leader", "no majority")
 	mustAnswer(t, h, "/readyz", 503, `{"Ready":false,"Unmet":["Leader: no majority"]}`)
-	h.Meet("Leader")
+	h.SetMet("Leader")
 	h.Stop()
 	mustAnswer(t, h, "/readyz", 503, `{"Ready":false,"Unmet":["shutting down"]}`)
 }
--- a/entry/runner/entry.go
+++ b/entry/runner/entry.go
@@ -166,10 +166,10 @@
 	e.asker = &connector.Asker{Pool: e.pools.entries, Sink: e.mailbox, Group: group, Ctx: ctx}
 	e.lease.Clock = time.Now
 	e.lease.Renewed = func(left time.Duration) {
-		e.Health.Meet(conditionLease)
+		e.Health.SetMet(conditionLease)
 		e.Metrics.SetLeaseMargin(left)
 	}
-	e.lease.Lapsed = func() { e.Health.Miss(conditionLease, "no controller has renewed it in time") }
+	e.lease.Lapsed = func() { e.Health.SetUnmet(conditionLease, "no controller has renewed it in time") }
 }
 
 // attend attends at the controllers until the entry leaves.
@@ -208,7 +208,7 @@
 	}
 	if notice.Configuration != nil {
 		events = append(events, coordinator.Configured{Configuration: *notice.Configuration})
-		e.Health.Meet(conditionProfiles)
+		e.Health.SetMet(conditionProfiles)
 	}
 	for _, event := range events {
 		if err := e.mailbox.Send(ctx, event); err != nil {
