--- a/core/supervisor/faultlimiter.go
+++ b/core/supervisor/faultlimiter.go
@@ -5,10 +5,10 @@
 // maxFaults bounds the memory for faults that differ in their key.
 const maxFaults = 1000
 
-// FaultLimiter lets the first of equal faults through, and then one for each interval. Every is
+// FaultLimiter lets the first of equal faults through, and then one for each interval. Interval is
 // set before use.
 type FaultLimiter struct {
-	Every  time.Duration
+	Interval  time.Duration
 	faults map[string]*fault
 }
 
@@ -20,7 +20,7 @@
 		f.dropped++
 		return 0, false
 	}
-	dropped, f.dropped, f.until = f.dropped, 0, now.Add(l.Every)
+	dropped, f.dropped, f.until = f.dropped, 0, now.Add(l.Interval)
 	return dropped, true
 }
 
--- a/core/supervisor/faultlog.go
+++ b/core/supervisor/faultlog.go
@@ -19,7 +19,7 @@
 
 // NewFaultLog returns a log that repeats an equal event about an equal peer once in every.
 func NewFaultLog(log zerolog.Logger, every time.Duration, clock func() time.Time) *FaultLog {
-	return &FaultLog{Log: log, Clock: clock, limiter: FaultLimiter{Every: every}}
+	return &FaultLog{Log: log, Clock: clock, limiter: FaultLimiter{Interval: every}}
 }
 
 // Report logs err as a warning, with the number of equal faults that were dropped before it.
