--- a/core/authenticator/authenticator.go
+++ b/core/authenticator/authenticator.go
@@ -122,7 +122,7 @@
 	if _, err := leaf.Verify(options); err != nil {
 		return errors.Wrap(err, "certificate of the peer")
 	}
-	peer, err := PeerOf(leaf)
+	peer, err := PeerFromCertificate(leaf)
 	if err != nil {
 		return err
 	}
--- a/core/authenticator/material.go
+++ b/core/authenticator/material.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "%s and %s", settings.Certificate, settings.Key)
 	}
-	self, err := PeerOf(certificate.Leaf)
+	self, err := PeerFromCertificate(certificate.Leaf)
 	if err != nil {
 		return nil, errors.Wrap(err, settings.Certificate)
 	}
--- a/core/authenticator/peer.go
+++ b/core/authenticator/peer.go
@@ -31,9 +31,9 @@
 	return &url.URL{Scheme: scheme, Host: string(p.Role), Path: "/" + p.Name}
 }
 
-// PeerOf returns the peer that certificate names. A certificate with no such name, or with two,
+// PeerFromCertificate returns the peer that certificate names. A certificate with no such name, or with two,
 // is refused.
-func PeerOf(certificate *x509.Certificate) (Peer, error) {
+func PeerFromCertificate(certificate *x509.Certificate) (Peer, error) {
 	var found []Peer
 	for _, uri := range certificate.URIs {
 		if uri.Scheme != scheme {
--- a/core/authenticator/peers.go
+++ b/core/authenticator/peers.go
@@ -11,8 +11,8 @@
 	"oleandertally/core/specifier"
 )
 
-// PeerFrom returns the peer on whose connection the call of ctx arrived.
-func PeerFrom(ctx context.Context) (Peer, error) {
+// PeerFromContext returns the peer on whose connection the call of ctx arrived.
+func PeerFromContext(ctx context.Context) (Peer, error) {
 	from, ok := peer.FromContext(ctx)
 	if !ok {
 		return Peer{}, ErrNoCertificate
@@ -21,7 +21,7 @@
 	if !ok || len(info.State.PeerCertificates) == 0 {
 		return Peer{}, ErrNoCertificate
 	}
-	return PeerOf(info.State.PeerCertificates[0])
+	return PeerFromCertificate(info.State.PeerCertificates[0])
 }
 
 // CheckRole returns ErrWrongPeer unless the peer has one of the roles.
@@ -38,7 +38,7 @@
 	if a.insecure {
 		return nil
 	}
-	found, err := PeerFrom(ctx)
+	found, err := PeerFromContext(ctx)
 	if err != nil {
 		return err
 	}
