--- a/core/supervisor/faultlimiter.go
+++ b/core/supervisor/faultlimiter.go
@@ -8,8 +8,8 @@
 // FaultLimiter lets the first of equal faults through, and then one for each interval. Interval is
 // set before use.
 type FaultLimiter struct {
-	Interval  time.Duration
-	faults map[string]*fault
+	Interval time.Duration
+	faults   map[string]*fault
 }
 
 // Allow reports whether the fault called key may be logged at now, and how many equal ones were
