--- a/core/configurator/agentsettings.go
+++ b/core/configurator/agentsettings.go
@@ -5,12 +5,12 @@
 // AgentSettings are the settings of one agent.
 type AgentSettings struct {
 	ProcessSettings
-	Service        string           `yaml:"Service"`      // the service of its upstream
-	AgentAddr      netip.AddrPort   `yaml:"AgentAddr"`    // gRPC; entries connect to it
-	AnnounceAddr   netip.AddrPort   `yaml:"AnnounceAddr"` // HTTP on loopback; the upstream announces itself here
+	Service        string           `yaml:"Service"`      // service that the upstream provides
+	AgentAddr      netip.AddrPort   `yaml:"AgentAddr"`    // gRPC address that entries connect to
+	AnnounceAddr   netip.AddrPort   `yaml:"AnnounceAddr"` // loopback HTTP address where the upstream announces itself
 	Controllers    []netip.AddrPort `yaml:"Controllers"`
-	MaxConnections int              `yaml:"MaxConnections"` // to the upstream
-	MaxQueue       int              `yaml:"MaxQueue"`       // tasks held beyond the slots of the upstream
+	MaxConnections int              `yaml:"MaxConnections"` // limit of connections to the upstream
+	MaxQueue       int              `yaml:"MaxQueue"`       // limit of tasks that wait for a free slot of the upstream
 }
 
 func (s *AgentSettings) setDefaults() {
@@ -22,7 +22,7 @@
 func (s *AgentSettings) check(c checker) {
 	s.checkOwn(c, &listeners{})
 	s.checkSecurity(c)
-	c.addrs("Controllers", s.Controllers)
+	c.dialAddrs("Controllers", s.Controllers)
 }
 
 func (s *AgentSettings) checkSecurity(c checker) {
@@ -32,14 +32,15 @@
 	}
 }
 
-// checkOwn checks the keys that a deployment does not supply.
+// checkOwn checks all keys except Security and Controllers, which a deployment can supply.
 func (s *AgentSettings) checkOwn(c checker, used *listeners) {
 	s.ProcessSettings.check(c)
 	c.name("Service", s.Service)
-	c.dialed("AgentAddr", s.AgentAddr)
+	c.dialAddr("AgentAddr", s.AgentAddr)
 	c.addr("AnnounceAddr", s.AnnounceAddr)
 	if s.AnnounceAddr.IsValid() && !s.AnnounceAddr.Addr().IsLoopback() {
-		// An announcement names the address to which tasks are sent, so only the host itself may make one.
+		// An announcement names the address to which tasks are sent, so only processes on the
+		// same host may send one.
 		c.add("AnnounceAddr", "%s is not a loopback address, expected one such as 127.0.0.1:7203", s.AnnounceAddr)
 	}
 	inRange(c, "MaxConnections", s.MaxConnections, 1, 10_000)
--- a/core/configurator/blockcount.go
+++ b/core/configurator/blockcount.go
@@ -1,4 +1,4 @@
 package configurator
 
-// blockCount is the size of one block so far.
+// blockCount is the number of lines and list items counted so far in one YAML block.
 type blockCount struct{ lines, items int }
--- a/core/configurator/blockcounter.go
+++ b/core/configurator/blockcounter.go
@@ -2,13 +2,13 @@
 
 import "strings"
 
-// blockCounter counts the lines and the list items of each block by indentation, without
-// parsing: a line with less indentation ends the blocks inside it.
+// blockCounter counts the lines and list items of each YAML block from the indentation alone,
+// without parsing. A line ends every open block that is indented deeper.
 type blockCounter struct {
-	blocks []blockCount // by indentation
+	blocks []blockCount // the open blocks, indexed by indentation
 }
 
-// add counts a line and returns the size of its block so far.
+// add counts one line and returns the count of its block. Blank lines and comments are not counted.
 func (b *blockCounter) add(text string) blockCount {
 	content := strings.TrimLeft(text, " ")
 	trimmed := strings.TrimSpace(content)
--- a/core/configurator/bytesize.go
+++ b/core/configurator/bytesize.go
@@ -22,7 +22,7 @@
 	size   ByteSize
 }{{"GiB", Gibibyte}, {"MiB", Mebibyte}, {"KiB", Kibibyte}, {"B", Byte}}
 
-// UnmarshalText accepts a whole number directly followed by a unit.
+// UnmarshalText parses a whole number with a unit, without a space between them.
 func (b *ByteSize) UnmarshalText(text []byte) error {
 	for _, unit := range byteUnits {
 		digits, ok := strings.CutSuffix(string(text), unit.suffix)
--- a/core/configurator/controllersettings.go
+++ b/core/configurator/controllersettings.go
@@ -10,19 +10,19 @@
 // ControllerSettings are the settings of one controller.
 type ControllerSettings struct {
 	ProcessSettings
-	Addr            netip.AddrPort `yaml:"Addr"`            // gRPC; every other process connects to it
-	DataFolder      string         `yaml:"DataFolder"`      // holds every file of the controller
-	Peers           []PeerSettings `yaml:"Peers"`           // the initial members
-	Heartbeat       time.Duration  `yaml:"Heartbeat"`       // leader to followers
-	LeaderLease     time.Duration  `yaml:"LeaderLease"`     // a leader that hears no majority for this long answers nothing
-	ElectionTimeout time.Duration  `yaml:"ElectionTimeout"` // a follower that hears no leader for this long asks for votes
-	MemberLease     time.Duration  `yaml:"MemberLease"`     // an entry or agent that does not renew for this long is down
-	MaxSubmissions  int            `yaml:"MaxSubmissions"`  // submission records held
-	MaxBatch        int            `yaml:"MaxBatch"`        // proposals in one log write
-	SnapshotAfter   int            `yaml:"SnapshotAfter"`   // log entries between two snapshots
+	Addr            netip.AddrPort `yaml:"Addr"`            // gRPC address that every other process connects to
+	DataFolder      string         `yaml:"DataFolder"`      // folder for all files that the controller writes
+	Peers           []PeerSettings `yaml:"Peers"`           // initial members of the controller group
+	Heartbeat       time.Duration  `yaml:"Heartbeat"`       // interval of the leader's messages to followers
+	LeaderLease     time.Duration  `yaml:"LeaderLease"`     // a leader stops answering when no majority has replied for this long
+	ElectionTimeout time.Duration  `yaml:"ElectionTimeout"` // a follower starts an election when no leader has sent anything for this long
+	MemberLease     time.Duration  `yaml:"MemberLease"`     // an entry or agent that has not renewed for this long counts as down
+	MaxSubmissions  int            `yaml:"MaxSubmissions"`  // limit of stored submission records
+	MaxBatch        int            `yaml:"MaxBatch"`        // limit of proposals in one write to the log
+	SnapshotAfter   int            `yaml:"SnapshotAfter"`   // number of log entries between two snapshots
 }
 
-// maxControllers is the number of hosts that may be set aside for control.
+// maxControllers is the largest number of hosts that may be reserved for controllers.
 const maxControllers = 7
 
 func (s *ControllerSettings) setDefaults() {
@@ -49,16 +49,16 @@
 
 func (s *ControllerSettings) checkSecurity(c checker) {
 	s.Security.check(c.at("Security"))
-	s.Security.checkNeeded(c.at("Security"), "Operators", s.Security.Operators)
+	s.Security.checkRequired(c.at("Security"), "Operators", s.Security.Operators)
 	if c.present("Security.Teams") {
 		c.add("Security.Teams", "has no effect at a controller")
 	}
 }
 
-// checkOwn checks the keys that a deployment does not supply.
+// checkOwn checks all keys except Security and Peers, which a deployment can supply.
 func (s *ControllerSettings) checkOwn(c checker, used *listeners) {
 	s.ProcessSettings.check(c)
-	c.dialed("Addr", s.Addr)
+	c.dialAddr("Addr", s.Addr)
 	c.text("DataFolder", s.DataFolder, "a folder")
 	s.checkTimes(c)
 	inRange(c, "MaxSubmissions", s.MaxSubmissions, 1_000, specifier.MaxSubmissions)
@@ -91,7 +91,7 @@
 	for i, peer := range s.Peers {
 		at := c.item("Peers", i)
 		at.name("Name", peer.Name)
-		at.dialed("Addr", peer.Addr)
+		at.dialAddr("Addr", peer.Addr)
 		if names[peer.Name] && peer.Name != "" {
 			at.add("Name", "%s is listed twice", quote(peer.Name))
 		}
--- a/core/configurator/decoder.go
+++ b/core/configurator/decoder.go
@@ -11,21 +11,22 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// decoder fills a settings value from a YAML tree. The library's own strict decoding stops at
-// the first problem; this one goes on, and keeps the line of each field for later checks.
+// decoder fills a settings value from a YAML tree. Unlike the strict decoding of the YAML library,
+// it does not stop at the first problem, and it records the line of each field for later checks.
 type decoder struct {
 	file     string
 	problems Problems
 	lines    map[string]int  // by field path
-	broken   map[string]bool // fields whose value was refused
+	rejected map[string]bool // paths of the fields whose value could not be decoded
 }
 
 func newDecoder(file string) *decoder {
-	return &decoder{file: file, lines: make(map[string]int), broken: make(map[string]bool)}
+	return &decoder{file: file, lines: make(map[string]int), rejected: make(map[string]bool)}
 }
 
-func (d *decoder) refuse(node ast.Node, field, format string, args ...any) {
-	d.broken[field] = true
+// reject records a problem of field, and suppresses later checks of it.
+func (d *decoder) reject(node ast.Node, field, format string, args ...any) {
+	d.rejected[field] = true
 	d.problems = append(d.problems, Problem{d.file, lineOf(node), field, fmt.Sprintf(format, args...)})
 }
 
@@ -47,7 +48,7 @@
 			target.SetString(text)
 			return
 		}
-		d.refuse(node, field, "expected text; put a number or a word with a meaning in YAML in quotes")
+		d.reject(node, field, "expected text; put a number or a word with a meaning in YAML in quotes")
 	default:
 		d.decodeScalar(node, target, field)
 	}
@@ -56,7 +57,7 @@
 func (d *decoder) decodeStruct(node ast.Node, target reflect.Value, field string) {
 	pairs, ok := pairsOf(node)
 	if !ok {
-		d.refuse(node, field, "expected keys and values")
+		d.reject(node, field, "expected keys and values")
 		return
 	}
 	if settings, ok := target.Addr().Interface().(interface{ setDefaults() }); ok {
@@ -71,9 +72,9 @@
 		value, known := keys[key]
 		switch {
 		case !known:
-			d.refuse(pair.Key, path, "unknown key; expected one of %s", strings.Join(names, ", "))
+			d.reject(pair.Key, path, "unknown key; expected one of %s", strings.Join(names, ", "))
 		case seen[key] > 0:
-			d.refuse(pair.Key, path, "set twice, first in line %d", seen[key])
+			d.reject(pair.Key, path, "set twice, first in line %d", seen[key])
 		default:
 			seen[key] = lineOf(pair.Key)
 			d.lines[path] = seen[key]
@@ -85,7 +86,7 @@
 func (d *decoder) decodeSlice(node ast.Node, target reflect.Value, field string) {
 	sequence, ok := node.(*ast.SequenceNode)
 	if !ok {
-		d.refuse(node, field, "expected a list")
+		d.reject(node, field, "expected a list")
 		return
 	}
 	target.Set(reflect.MakeSlice(target.Type(), len(sequence.Values), len(sequence.Values)))
@@ -100,7 +101,7 @@
 		text = node.GetToken().Value
 	}
 	if err := target.Addr().Interface().(encoding.TextUnmarshaler).UnmarshalText([]byte(text)); err != nil {
-		d.refuse(node, field, "%s", describe(target.Addr().Interface(), text, err))
+		d.reject(node, field, "%s", textError(target.Addr().Interface(), text, err))
 	}
 }
 
@@ -109,25 +110,25 @@
 		text, _ := textOf(node)
 		length, err := time.ParseDuration(text)
 		if err != nil {
-			d.refuse(node, field, `expected a duration with its unit, such as "3s" or "250ms", got %s`, quote(node.GetToken().Value))
+			d.reject(node, field, `expected a duration with its unit, such as "3s" or "250ms", got %s`, quote(node.GetToken().Value))
 			return
 		}
 		target.SetInt(int64(length))
 		return
 	}
 	expected := "true or false"
-	_, fits := node.(*ast.BoolNode)
+	_, matches := node.(*ast.BoolNode)
 	switch target.Kind() {
 	case reflect.Int, reflect.Int64:
 		expected = "a whole number"
-		_, fits = node.(*ast.IntegerNode)
+		_, matches = node.(*ast.IntegerNode)
 	case reflect.Float64:
 		expected = "a number"
-		_, whole := node.(*ast.IntegerNode)
-		_, broken := node.(*ast.FloatNode)
-		fits = whole || broken
+		_, isInteger := node.(*ast.IntegerNode)
+		_, isFloat := node.(*ast.FloatNode)
+		matches = isInteger || isFloat
 	}
-	if !fits || yaml.NodeToValue(node, target.Addr().Interface()) != nil {
-		d.refuse(node, field, "expected %s, got %s", expected, quote(node.GetToken().Value))
+	if !matches || yaml.NodeToValue(node, target.Addr().Interface()) != nil {
+		d.reject(node, field, "expected %s, got %s", expected, quote(node.GetToken().Value))
 	}
 }
--- a/core/configurator/deployment_test.go
+++ b/core/configurator/deployment_test.go
@@ -48,7 +48,7 @@
 			text := strings.Replace(siteText, c.old, c.new, 1)
 			must.NotEq(t, siteText, text)
 			_, err := Parse[DeploymentSettings]("f", []byte(text))
-			mustRefuse(t, err, "f:"+strings.ReplaceAll(c.expected, "\n", "\nf:"))
+			mustReject(t, err, "f:"+strings.ReplaceAll(c.expected, "\n", "\nf:"))
 		})
 	}
 }
@@ -65,7 +65,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := Parse[ProfileSettings]("f", []byte(c.text))
-			mustRefuse(t, err, "f:"+c.expected)
+			mustReject(t, err, "f:"+c.expected)
 		})
 	}
 }
--- a/core/configurator/deploymentcheck.go
+++ b/core/configurator/deploymentcheck.go
@@ -5,21 +5,21 @@
 	"reflect"
 )
 
-// deploymentCheck fills in what the processes of a deployment take from it, and checks them
-// together. What is taken is checked once, where it is written.
+// deploymentCheck checks the processes of a deployment together, and first fills in the settings
+// that they inherit from it. Inherited settings are checked once, at the place where the file has them.
 type deploymentCheck struct {
-	checker  checker
-	security SecuritySettings
-	shared   struct{ used, teams, operators bool } // what of security processes take from the deployment
-	used     listeners
-	names    map[string]string // where each name stands
+	checker   checker
+	security  SecuritySettings
+	inherited struct{ used, teams, operators bool } // whether any process inherits Security, and which lists they need
+	used      listeners
+	names     map[string]string // path of the process that has each name
 }
 
 func (d *deploymentCheck) controller(c checker, s *ControllerSettings, peers []PeerSettings) {
 	s.checkOwn(c, &d.used)
 	checkUnique(c, s.Name, d.names)
 	if inherit(&s.Security, d.security) {
-		d.shared.used, d.shared.operators = true, true
+		d.inherited.used, d.inherited.operators = true, true
 	} else {
 		s.checkSecurity(c)
 	}
@@ -32,12 +32,12 @@
 	s.checkOwn(c, &d.used)
 	checkUnique(c, s.Name, d.names)
 	if inherit(&s.Security, d.security) {
-		d.shared.used, d.shared.teams = true, true
+		d.inherited.used, d.inherited.teams = true, true
 	} else {
 		s.checkSecurity(c)
 	}
 	if !inherit(&s.Controllers, addrs) {
-		c.addrs("Controllers", s.Controllers)
+		c.dialAddrs("Controllers", s.Controllers)
 	}
 }
 
@@ -45,29 +45,30 @@
 	s.checkOwn(c, &d.used)
 	checkUnique(c, s.Name, d.names)
 	if inherit(&s.Security, d.security) {
-		d.shared.used = true
+		d.inherited.used = true
 	} else {
 		s.checkSecurity(c)
 	}
 	if !inherit(&s.Controllers, addrs) {
-		c.addrs("Controllers", s.Controllers)
+		c.dialAddrs("Controllers", s.Controllers)
 	}
 }
 
+// finish checks the Security of the deployment, after it is known which parts of it are inherited.
 func (d *deploymentCheck) finish() {
 	c := d.checker.at("Security")
-	if d.shared.used || c.present("") {
+	if d.inherited.used || c.present("") {
 		d.security.check(c)
 	}
-	if d.shared.teams {
-		d.security.checkNeeded(c, "Teams", d.security.Teams)
+	if d.inherited.teams {
+		d.security.checkRequired(c, "Teams", d.security.Teams)
 	}
-	if d.shared.operators {
-		d.security.checkNeeded(c, "Operators", d.security.Operators)
+	if d.inherited.operators {
+		d.security.checkRequired(c, "Operators", d.security.Operators)
 	}
 }
 
-// inherit sets value to shared when it is not set, and reports whether it was not.
+// inherit sets value to shared if value is zero, and reports whether it did so.
 func inherit[V any](value *V, shared V) bool {
 	if !reflect.ValueOf(value).Elem().IsZero() {
 		return false
@@ -76,7 +77,8 @@
 	return true
 }
 
-// checkUnique reports a name that an earlier item has; names maps each to where it stands.
+// checkUnique reports a name that an earlier item already has. It records in names the path of the
+// item that has each name.
 func checkUnique(c checker, name string, names map[string]string) {
 	if name == "" {
 		return
--- a/core/configurator/deploymentsettings.go
+++ b/core/configurator/deploymentsettings.go
@@ -2,8 +2,8 @@
 
 import "net/netip"
 
-// DeploymentSettings list every process of a site. A process that names no Security takes that
-// of the deployment; one that names no Controllers or Peers takes the listed controllers.
+// DeploymentSettings list every process of a site. A process without Security inherits that of the
+// deployment; one without Controllers or Peers uses the controllers of the deployment.
 type DeploymentSettings struct {
 	Security    SecuritySettings     `yaml:"Security"`
 	Controllers []ControllerSettings `yaml:"Controllers"`
@@ -13,27 +13,27 @@
 
 // Controller returns the settings of the controller called name.
 func (s *DeploymentSettings) Controller(name string) (ControllerSettings, bool) {
-	return find(s.Controllers, name, func(c ControllerSettings) string { return c.Name })
+	return findByName(s.Controllers, name, func(c ControllerSettings) string { return c.Name })
 }
 
 // Entry returns the settings of the entry called name.
 func (s *DeploymentSettings) Entry(name string) (EntrySettings, bool) {
-	return find(s.Entries, name, func(e EntrySettings) string { return e.Name })
+	return findByName(s.Entries, name, func(e EntrySettings) string { return e.Name })
 }
 
 // Agent returns the settings of the agent called name.
 func (s *DeploymentSettings) Agent(name string) (AgentSettings, bool) {
-	return find(s.Agents, name, func(a AgentSettings) string { return a.Name })
+	return findByName(s.Agents, name, func(a AgentSettings) string { return a.Name })
 }
 
-func find[S any](list []S, name string, nameOf func(S) string) (S, bool) {
+func findByName[S any](list []S, name string, nameOf func(S) string) (S, bool) {
 	for _, item := range list {
 		if nameOf(item) == name {
 			return item, true
 		}
 	}
-	var none S
-	return none, false
+	var zero S
+	return zero, false
 }
 
 func (s *DeploymentSettings) setDefaults() {}
@@ -52,7 +52,7 @@
 }
 
 func (s *DeploymentSettings) check(c checker) {
-	peers, addrs := s.listed()
+	peers, addrs := s.listControllers()
 	d := deploymentCheck{checker: c, security: s.Security, names: make(map[string]string)}
 	for i := range s.Controllers {
 		d.controller(c.item("Controllers", i), &s.Controllers[i], peers)
@@ -67,8 +67,8 @@
 	s.checkCounts(c)
 }
 
-// listed returns the listed controllers as peers and as addresses.
-func (s *DeploymentSettings) listed() ([]PeerSettings, []netip.AddrPort) {
+// listControllers returns the controllers of the deployment as peers and as addresses.
+func (s *DeploymentSettings) listControllers() ([]PeerSettings, []netip.AddrPort) {
 	var peers []PeerSettings
 	var addrs []netip.AddrPort
 	for _, controller := range s.Controllers {
--- a/core/configurator/doc.go
+++ b/core/configurator/doc.go
@@ -1,4 +1,4 @@
-// Package configurator reads settings and profile files: strict YAML with Pascal-case keys.
-// Every problem of a file is reported at once, with file, line and field, and a file with a
-// problem has no effect.
+// Package configurator reads settings and profile files: strict YAML with PascalCase keys. It
+// reports all problems of a file together, each with file, line and field. A file with any problem
+// is rejected as a whole.
 package configurator
--- a/core/configurator/docs_test.go
+++ b/core/configurator/docs_test.go
@@ -8,13 +8,14 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestPage guards against keys and error texts that the page for operators does not have.
+// TestPage guards against settings keys and error texts that are missing from the operators' page on
+// settings.
 func TestPage(t *testing.T) {
 	data, err := os.ReadFile("../../docs/settings.md")
 	must.NoError(t, err)
 	page := string(data)
 	for _, settings := range []any{EntrySettings{}, AgentSettings{}, ControllerSettings{}, OperatorSettings{}, DeploymentSettings{}, ProfileSettings{}} {
-		mustName(t, page, reflect.TypeOf(settings))
+		mustDocument(t, page, reflect.TypeOf(settings))
 	}
 	t.Run("bad file", func(t *testing.T) {
 		_, err := Read[AgentSettings]("testdata/five.yaml")
@@ -25,10 +26,10 @@
 	})
 }
 
-func mustName(t *testing.T, page string, settings reflect.Type) {
+func mustDocument(t *testing.T, page string, settings reflect.Type) {
 	t.Helper()
 	if settings.Kind() == reflect.Slice {
-		mustName(t, page, settings.Elem())
+		mustDocument(t, page, settings.Elem())
 		return
 	}
 	if settings.Kind() != reflect.Struct {
@@ -40,7 +41,7 @@
 			t.Run(settings.Name()+"."+key, func(t *testing.T) { must.StrContains(t, page, "`"+key+"`") })
 		}
 		if field.IsExported() {
-			mustName(t, page, field.Type)
+			mustDocument(t, page, field.Type)
 		}
 	}
 }
--- a/core/configurator/document.go
+++ b/core/configurator/document.go
@@ -12,16 +12,17 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// The YAML parser is recursive; these bounds keep hostile input from exhausting its stack.
+// The YAML parser is recursive and partly quadratic. These limits keep hostile input from exhausting
+// its stack or the CPU.
 const (
-	maxFile  = 1 << 20 // bytes; 940 workers take about 300 KiB
-	maxLine  = 1 << 10 // bytes; block nesting takes at least one byte of the line for each level
-	maxDepth = 16      // levels of flow nesting
-	maxKeys  = 200     // lines of one block; the parser's time grows with the square of them
-	maxItems = 5_000   // items of one list; likewise
+	maxFileBytes  = 1 << 20 // a deployment of 940 workers takes about 300 KiB
+	maxLineBytes  = 1 << 10 // also limits block nesting, which takes at least one byte of indentation for each level
+	maxFlowDepth  = 16      // levels of nested brackets
+	maxBlockLines = 200     // the parser's time grows with the square of the lines in a block
+	maxListItems  = 5_000   // the parser's time grows with the square of the items in a list
 )
 
-// parseDocument returns the root of the one document in data.
+// parseDocument returns the root node of data, which must hold exactly one YAML document.
 func parseDocument(file string, data []byte) (ast.Node, *Problem) {
 	if problem := checkText(file, data); problem != nil {
 		return nil, problem
@@ -50,22 +51,23 @@
 	return root, nil
 }
 
+// checkText enforces the limits that can be checked without the parser.
 func checkText(file string, data []byte) *Problem {
-	if len(data) > maxFile {
-		return &Problem{file, 1, "", fmt.Sprintf("the file is longer than %s", ByteSize(maxFile))}
+	if len(data) > maxFileBytes {
+		return &Problem{file, 1, "", fmt.Sprintf("the file is longer than %s", ByteSize(maxFileBytes))}
 	}
 	line := 0
 	var blocks blockCounter
 	for text := range strings.Lines(string(data)) {
 		line++
-		if len(text) > maxLine {
-			return &Problem{file, line, "", fmt.Sprintf("the line has %d bytes, expected at most %d", len(text), maxLine)}
+		if len(text) > maxLineBytes {
+			return &Problem{file, line, "", fmt.Sprintf("the line has %d bytes, expected at most %d", len(text), maxLineBytes)}
 		}
 		switch block := blocks.add(text); {
-		case block.lines > maxKeys:
-			return &Problem{file, line, "", fmt.Sprintf("the block has more than %d lines", maxKeys)}
-		case block.items > maxItems:
-			return &Problem{file, line, "", fmt.Sprintf("the list has more than %d items", maxItems)}
+		case block.lines > maxBlockLines:
+			return &Problem{file, line, "", fmt.Sprintf("the block has more than %d lines", maxBlockLines)}
+		case block.items > maxListItems:
+			return &Problem{file, line, "", fmt.Sprintf("the list has more than %d items", maxListItems)}
 		}
 	}
 	return nil
@@ -80,8 +82,8 @@
 		case token.MappingEndType, token.SequenceEndType:
 			depth--
 		}
-		if depth > maxDepth {
-			return &Problem{file, t.Position.Line, "", fmt.Sprintf("brackets are nested deeper than %d levels", maxDepth)}
+		if depth > maxFlowDepth {
+			return &Problem{file, t.Position.Line, "", fmt.Sprintf("brackets are nested deeper than %d levels", maxFlowDepth)}
 		}
 	}
 	return nil
--- a/core/configurator/entrylimits.go
+++ b/core/configurator/entrylimits.go
@@ -6,13 +6,13 @@
 	"oleandertally/core/specifier"
 )
 
-// EntryLimits bound what callers can make an entry hold.
+// EntryLimits bound the memory and connections that callers can make an entry use.
 type EntryLimits struct {
-	MaxBody       ByteSize      `yaml:"MaxBody"`       // body of one submission
-	MaxRequests   int           `yaml:"MaxRequests"`   // callers' requests open at once
-	MaxJobs       int           `yaml:"MaxJobs"`       // jobs owned and not yet answered
-	HeaderTimeout time.Duration `yaml:"HeaderTimeout"` // time for a caller to send the headers of a request
-	BodyTimeout   time.Duration `yaml:"BodyTimeout"`   // time for a caller to send a whole request
+	MaxBody       ByteSize      `yaml:"MaxBody"`       // limit of the body of one submission
+	MaxRequests   int           `yaml:"MaxRequests"`   // limit of concurrent requests from callers
+	MaxJobs       int           `yaml:"MaxJobs"`       // limit of jobs that this entry owns and has not answered yet
+	HeaderTimeout time.Duration `yaml:"HeaderTimeout"` // time in which a caller must send the headers of a request
+	BodyTimeout   time.Duration `yaml:"BodyTimeout"`   // time in which a caller must send a whole request
 }
 
 func (l *EntryLimits) setDefaults() {
--- a/core/configurator/entrysettings.go
+++ b/core/configurator/entrysettings.go
@@ -5,8 +5,8 @@
 // EntrySettings are the settings of one entry.
 type EntrySettings struct {
 	ProcessSettings
-	HTTPAddr    netip.AddrPort   `yaml:"HttpAddr"` // callers
-	PeerAddr    netip.AddrPort   `yaml:"PeerAddr"` // gRPC; other processes connect to it
+	HTTPAddr    netip.AddrPort   `yaml:"HttpAddr"` // HTTP address for callers
+	PeerAddr    netip.AddrPort   `yaml:"PeerAddr"` // gRPC address that other processes connect to
 	Controllers []netip.AddrPort `yaml:"Controllers"`
 	Limits      EntryLimits      `yaml:"Limits"`
 }
@@ -19,19 +19,19 @@
 func (s *EntrySettings) check(c checker) {
 	s.checkOwn(c, &listeners{})
 	s.checkSecurity(c)
-	c.addrs("Controllers", s.Controllers)
+	c.dialAddrs("Controllers", s.Controllers)
 }
 
 func (s *EntrySettings) checkSecurity(c checker) {
 	s.Security.check(c.at("Security"))
-	s.Security.checkNeeded(c.at("Security"), "Teams", s.Security.Teams)
+	s.Security.checkRequired(c.at("Security"), "Teams", s.Security.Teams)
 }
 
-// checkOwn checks the keys that a deployment does not supply.
+// checkOwn checks all keys except Security and Controllers, which a deployment can supply.
 func (s *EntrySettings) checkOwn(c checker, used *listeners) {
 	s.ProcessSettings.check(c)
 	c.addr("HttpAddr", s.HTTPAddr)
-	c.dialed("PeerAddr", s.PeerAddr)
+	c.dialAddr("PeerAddr", s.PeerAddr)
 	s.Limits.check(c.at("Limits"))
 	used.add(c, "HttpAddr", s.PeerAddr, s.HTTPAddr)
 	used.add(c, "PeerAddr", s.PeerAddr, s.PeerAddr)
--- a/core/configurator/fuzz_test.go
+++ b/core/configurator/fuzz_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// FuzzParse guards against input that crashes the reader, and against problems without a place.
+// FuzzParse guards against input that crashes the reader, and against problems without a file and line.
 func FuzzParse(f *testing.F) {
 	files, err := filepath.Glob(filepath.Join(examples, "*.yaml"))
 	must.NoError(f, err)
@@ -22,16 +22,16 @@
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		mustPlace[EntrySettings](t, data)
-		mustPlace[AgentSettings](t, data)
-		mustPlace[ControllerSettings](t, data)
-		mustPlace[OperatorSettings](t, data)
-		mustPlace[DeploymentSettings](t, data)
-		mustPlace[ProfileSettings](t, data)
+		mustLocateProblems[EntrySettings](t, data)
+		mustLocateProblems[AgentSettings](t, data)
+		mustLocateProblems[ControllerSettings](t, data)
+		mustLocateProblems[OperatorSettings](t, data)
+		mustLocateProblems[DeploymentSettings](t, data)
+		mustLocateProblems[ProfileSettings](t, data)
 	})
 }
 
-func mustPlace[S any, P interface {
+func mustLocateProblems[S any, P interface {
 	*S
 	settings
 }](t *testing.T, data []byte) {
--- a/core/configurator/large_test.go
+++ b/core/configurator/large_test.go
@@ -21,9 +21,10 @@
 }
 
 func TestLargeSite(t *testing.T) {
-	// Guards against bounds that refuse a site of the size expected within two years.
+	// Guards against size limits that reject a deployment of 940 workers, the size expected within two
+	// years.
 	text := largeSite(940)
-	must.Less(t, maxFile, len(text))
+	must.Less(t, maxFileBytes, len(text))
 	site, err := Parse[DeploymentSettings]("f", []byte(text))
 	must.NoError(t, err)
 	must.Len(t, 940, site.Agents)
--- a/core/configurator/listener.go
+++ b/core/configurator/listener.go
@@ -2,16 +2,16 @@
 
 import "net/netip"
 
-// listener is one address on which a process listens.
+// listener is one IP address on which a process listens, and the settings field that configures it.
 type listener struct {
-	host  netip.Addr // the address by which the process is known
+	host  netip.Addr // the address at which other processes reach the process; identifies its host
 	addr  netip.Addr
 	field string
 }
 
-// clashes reports whether both listen on an address in common. A wildcard or loopback address
-// means different sockets on different hosts.
-func (l listener) clashes(other listener) bool {
+// conflictsWith reports whether two listeners on the same port cannot be open at the same time. Equal
+// wildcard or loopback addresses conflict on the same host only.
+func (l listener) conflictsWith(other listener) bool {
 	sameHost := l.host == other.host || l.host.IsLoopback() && other.host.IsLoopback()
 	if l.addr == other.addr {
 		return sameHost || !l.addr.IsUnspecified() && !l.addr.IsLoopback()
--- a/core/configurator/listeners.go
+++ b/core/configurator/listeners.go
@@ -2,13 +2,13 @@
 
 import "net/netip"
 
-// listeners finds two listening addresses that cannot be open on one host at the same time.
+// listeners detects listening addresses that cannot be open on one host at the same time.
 type listeners struct {
 	ports map[uint16][]listener
 }
 
-// add records that the process known as host listens on addr, and reports a clash with an
-// earlier one to c.
+// add records that the process on host listens on addr, and reports a conflict with an earlier
+// listener to c.
 func (l *listeners) add(c checker, field string, host, addr netip.AddrPort) {
 	if !addr.IsValid() {
 		return
@@ -18,7 +18,7 @@
 	}
 	added := listener{host.Addr().Unmap(), addr.Addr().Unmap(), c.path(field)}
 	for _, other := range l.ports[addr.Port()] {
-		if added.clashes(other) {
+		if added.conflictsWith(other) {
 			c.add(field, "%s is already used by %s", addr, other.field)
 			break
 		}
--- a/core/configurator/node.go
+++ b/core/configurator/node.go
@@ -9,8 +9,8 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// pairsOf returns the entries of a mapping. Anchors, aliases, tags and merge keys are not
-// accepted anywhere, so that each value is the one written on its own line.
+// pairsOf returns the key-value pairs of a mapping. Anchors, aliases, tags and merge keys are
+// rejected everywhere, so that the value of a key is always written next to it.
 func pairsOf(node ast.Node) ([]*ast.MappingValueNode, bool) {
 	switch node := node.(type) {
 	case *ast.MappingNode:
@@ -38,7 +38,8 @@
 	return "", false
 }
 
-// collectKeys fills keys with the fields of target by their key, and returns the keys in order.
+// collectKeys adds the fields of target to keys by their YAML key, and returns the keys in the order
+// of the fields. Keys of embedded structs are included.
 func collectKeys(target reflect.Value, keys map[string]reflect.Value, names []string) []string {
 	for i := range target.NumField() {
 		field := target.Type().Field(i)
@@ -57,8 +58,8 @@
 }
 
 func joinField(field, key string) string {
-	if len(key) > maxQuote {
-		key = key[:maxQuote]
+	if len(key) > maxQuotedBytes {
+		key = key[:maxQuotedBytes]
 	}
 	if field == "" {
 		return key
@@ -66,17 +67,18 @@
 	return field + "." + key
 }
 
-// maxQuote bounds how much of a wrong value a problem repeats.
-const maxQuote = 64
+// maxQuotedBytes limits how much of a wrong key or value a problem repeats.
+const maxQuotedBytes = 64
 
 func quote(text string) string {
-	if len(text) > maxQuote {
-		return strconv.Quote(text[:maxQuote]) + "..."
+	if len(text) > maxQuotedBytes {
+		return strconv.Quote(text[:maxQuotedBytes]) + "..."
 	}
 	return strconv.Quote(text)
 }
 
-func describe(target any, text string, err error) string {
+// textError returns the problem text for a value that UnmarshalText rejected.
+func textError(target any, text string, err error) string {
 	if _, ok := target.(*netip.AddrPort); ok {
 		return fmt.Sprintf(`expected an IP address and a port, such as "10.0.0.1:7101", got %s`, quote(text))
 	}
--- a/core/configurator/operatorsettings.go
+++ b/core/configurator/operatorsettings.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// OperatorSettings are the settings of the operators' command line.
+// OperatorSettings are the settings of the command-line tool for operators.
 type OperatorSettings struct {
-	Name        string           `yaml:"Name"` // recorded with each change of the configuration
+	Name        string           `yaml:"Name"` // name of the operator, recorded with each change of the configuration
 	Controllers []netip.AddrPort `yaml:"Controllers"`
-	TokenFile   string           `yaml:"TokenFile"` // holds the operator's token
-	Timeout     time.Duration    `yaml:"Timeout"`   // for one command
+	TokenFile   string           `yaml:"TokenFile"` // file with the operator's token
+	Timeout     time.Duration    `yaml:"Timeout"`   // time limit of one command
 	MaxMessage  ByteSize         `yaml:"MaxMessage"`
 	Security    SecuritySettings `yaml:"Security"`
 }
@@ -27,7 +27,7 @@
 
 func (s *OperatorSettings) check(c checker) {
 	c.name("Name", s.Name)
-	c.addrs("Controllers", s.Controllers)
+	c.dialAddrs("Controllers", s.Controllers)
 	inRange(c, "Timeout", s.Timeout, 100*time.Millisecond, time.Hour)
 	inRange(c, "MaxMessage", s.MaxMessage, Mebibyte, 64*Mebibyte)
 	s.Security.check(c.at("Security"))
--- a/core/configurator/peersettings.go
+++ b/core/configurator/peersettings.go
@@ -2,7 +2,7 @@
 
 import "net/netip"
 
-// PeerSettings name one controller to the others.
+// PeerSettings are the name and address of one controller of the group.
 type PeerSettings struct {
 	Name string         `yaml:"Name"`
 	Addr netip.AddrPort `yaml:"Addr"`
--- a/core/configurator/problem.go
+++ b/core/configurator/problem.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Problem is one thing that is wrong with a file.
+// Problem is one mistake in a file.
 type Problem struct {
 	File  string
 	Line  int    // from 1; the line of the enclosing block when the field is missing
--- a/core/configurator/problems.go
+++ b/core/configurator/problems.go
@@ -7,13 +7,13 @@
 	"strings"
 )
 
-// maxProblems bounds the report on a file that is not a settings file at all.
+// maxProblems limits the report on a file that is not a settings file at all.
 const maxProblems = 100
 
-// Problems is the error for a file that was refused, in the order of its lines.
+// Problems is the error of a rejected file, sorted by line.
 type Problems []Problem
 
-// Error returns one line for each problem.
+// Error returns one line for each of the first maxProblems problems, and the number of the others.
 func (p Problems) Error() string {
 	var text strings.Builder
 	for i, problem := range p[:min(len(p), maxProblems)] {
@@ -28,7 +28,7 @@
 	return text.String()
 }
 
-func (p Problems) orNil() error {
+func (p Problems) asError() error {
 	if len(p) == 0 {
 		return nil
 	}
--- a/core/configurator/processsettings.go
+++ b/core/configurator/processsettings.go
@@ -9,18 +9,18 @@
 
 // ProcessSettings are the keys that entries, agents and controllers share.
 type ProcessSettings struct {
-	Name        string           `yaml:"Name"`        // unique in the site
+	Name        string           `yaml:"Name"`        // unique within the site
 	Zone        string           `yaml:"Zone"`        // availability zone
 	Rack        string           `yaml:"Rack"`        // hosts of a rack fail together
-	MetricsAddr netip.AddrPort   `yaml:"MetricsAddr"` // HTTP: /metrics, /readyz, /livez
+	MetricsAddr netip.AddrPort   `yaml:"MetricsAddr"` // HTTP address of /metrics, /readyz and /livez
 	LogLevel    string           `yaml:"LogLevel"`    // Debug, Info, Warn or Error
-	StopWithin  time.Duration    `yaml:"StopWithin"`  // a graceful shutdown is cut off after this time
-	MaxMessage  ByteSize         `yaml:"MaxMessage"`  // largest gRPC message accepted
+	StopWithin  time.Duration    `yaml:"StopWithin"`  // time limit of a graceful shutdown
+	MaxMessage  ByteSize         `yaml:"MaxMessage"`  // size limit of a gRPC message
 	Security    SecuritySettings `yaml:"Security"`
 }
 
-// defaultMaxMessage holds the answer to a job of specifier.MaxTasks results of
-// specifier.MaxResult each, 17 MiB, which one entry sends to another.
+// defaultMaxMessage is above the 17 MiB of the largest message: one entry sends another the answer to
+// a job with specifier.MaxTasks results of specifier.MaxResult bytes each.
 const defaultMaxMessage = 32 * Mebibyte
 
 var logLevels = []string{"Debug", "Info", "Warn", "Error"}
--- a/core/configurator/profilesettings.go
+++ b/core/configurator/profilesettings.go
@@ -6,12 +6,12 @@
 	"oleandertally/core/specifier"
 )
 
-// ProfileSettings are the content of a profile file, from which an operator changes the configuration.
+// ProfileSettings are the content of a profile file, with which an operator changes profiles and teams.
 type ProfileSettings struct {
 	Profiles       []specifier.Profile `yaml:"Profiles"`
 	Teams          []specifier.Team    `yaml:"Teams"`
-	RemoveProfiles []string            `yaml:"RemoveProfiles"` // names
-	RemoveTeams    []string            `yaml:"RemoveTeams"`
+	RemoveProfiles []string            `yaml:"RemoveProfiles"` // names of profiles
+	RemoveTeams    []string            `yaml:"RemoveTeams"`    // names of teams
 }
 
 func (s *ProfileSettings) setDefaults() {}
@@ -32,14 +32,15 @@
 		at := c.item("Teams", i)
 		at.name("Name", team.Name)
 		inRange(at, "Share", team.Share, 0, 1000)
-		at.noZero("Share", team.Share == 0)
+		at.rejectZero("Share", team.Share == 0)
 		checkUnique(at, team.Name, teams)
 	}
 	checkRemoved(c, "RemoveProfiles", s.RemoveProfiles, profiles)
 	checkRemoved(c, "RemoveTeams", s.RemoveTeams, teams)
 }
 
-// checkRemoved checks names to remove; named maps what the file names already to where it stands.
+// checkRemoved checks the names to remove. named maps the names that occur earlier in the file to the
+// path where each occurs.
 func checkRemoved(c checker, field string, names []string, named map[string]string) {
 	for i, name := range names {
 		at := c.item(field, i)
@@ -61,16 +62,16 @@
 	inRange(c, "Priority", p.Priority, 0, 9)
 	inRange(c, "LongShare", p.LongShare, 0, 1)
 	inRange(c, "BreakerAfter", p.BreakerAfter, 0, 1000)
-	c.noZero("MaxTimeLeft", p.MaxTimeLeft == time.Duration(0))
-	c.noZero("QueueBound", p.QueueBound == 0)
-	c.noZero("RetryBudget", p.RetryBudget == 0)
-	c.noZero("LongShare", p.LongShare == 0)
-	c.noZero("BreakerAfter", p.BreakerAfter == 0)
+	c.rejectZero("MaxTimeLeft", p.MaxTimeLeft == time.Duration(0))
+	c.rejectZero("QueueBound", p.QueueBound == 0)
+	c.rejectZero("RetryBudget", p.RetryBudget == 0)
+	c.rejectZero("LongShare", p.LongShare == 0)
+	c.rejectZero("BreakerAfter", p.BreakerAfter == 0)
 }
 
-// noZero refuses a zero that is written down: it would mean the default, which is rarely what
-// its author expects.
-func (c checker) noZero(field string, zero bool) {
+// rejectZero reports an explicit zero in the file: it would select the default, which is rarely what
+// the author expects.
+func (c checker) rejectZero(field string, zero bool) {
 	if zero && c.present(field) {
 		c.add(field, "0 means the default; leave the key out instead")
 	}
--- a/core/configurator/reader_test.go
+++ b/core/configurator/reader_test.go
@@ -15,7 +15,7 @@
 
 const examples = "../../examples/settings"
 
-// agentText is a whole agent file; tests break one line of it.
+// agentText is a valid settings file of an agent. Tests replace one line of it by a mistake.
 const agentText = `Name: agent-1
 Zone: alajuela
 Rack: rack-1
@@ -27,7 +27,7 @@
 Security: {Insecure: true}
 `
 
-func mustRefuse(t *testing.T, err error, expected ...string) {
+func mustReject(t *testing.T, err error, expected ...string) {
 	t.Helper()
 	var problems Problems
 	must.True(t, errors.As(err, &problems), must.Sprintf("expected problems, got %v", err))
@@ -45,11 +45,11 @@
 }
 
 func TestExamples(t *testing.T) {
-	// Guards against examples that the programs would refuse.
+	// Guards against example files that the programs reject.
 	load := map[string]func(t *testing.T, file string){
-		"onehost.yaml":          mustHaveSizes(1, 1, 2),
-		"alisio.yaml":           mustHaveSizes(3, 3, 11),
-		"eslabon.yaml":          mustHaveSizes(3, 3, 11),
+		"onehost.yaml":          mustHaveProcesses(1, 1, 2),
+		"alisio.yaml":           mustHaveProcesses(3, 3, 11),
+		"eslabon.yaml":          mustHaveProcesses(3, 3, 11),
 		"entry.yaml":            func(t *testing.T, file string) { mustRead[EntrySettings](t, file) },
 		"agent.yaml":            func(t *testing.T, file string) { mustRead[AgentSettings](t, file) },
 		"controller.yaml":       func(t *testing.T, file string) { mustRead[ControllerSettings](t, file) },
@@ -69,7 +69,7 @@
 	}
 }
 
-func mustHaveSizes(controllers, entries, agents int) func(t *testing.T, file string) {
+func mustHaveProcesses(controllers, entries, agents int) func(t *testing.T, file string) {
 	return func(t *testing.T, file string) {
 		t.Helper()
 		site := mustRead[DeploymentSettings](t, file)
@@ -88,7 +88,7 @@
 }
 
 func TestValues(t *testing.T) {
-	// Guards against keys that are read into the wrong field, and lost defaults.
+	// Guards against keys that are read into the wrong field, and against missing defaults.
 	t.Run("set", func(t *testing.T) {
 		s := mustRead[ControllerSettings](t, "controller.yaml")
 		must.Eq(t, "10.20.1.5:7101", s.Addr.String())
@@ -120,9 +120,9 @@
 }
 
 func TestFiveMistakes(t *testing.T) {
-	// Guards against a reader that reports mistakes one at a time, or without their place.
+	// Guards against a reader that reports one mistake at a time, or without file, line and field.
 	_, err := Read[AgentSettings]("testdata/five.yaml")
-	mustRefuse(t, err,
+	mustReject(t, err,
 		`testdata/five.yaml:3: Zoen: unknown key; expected one of Name, Zone, Rack, MetricsAddr, LogLevel, StopWithin, MaxMessage, Security, Service, AgentAddr, AnnounceAddr, Controllers, MaxConnections, MaxQueue`,
 		`testdata/five.yaml:6: AgentAddr: expected an IP address and a port, such as "10.0.0.1:7101", got "worker-1:7201"`,
 		`testdata/five.yaml:8: MetricsAddr: 127.0.0.1:7202 is already used by AnnounceAddr`,
@@ -159,28 +159,28 @@
 			text := strings.Replace(agentText, c.old, c.new, 1)
 			must.NotEq(t, agentText, text)
 			_, err := Parse[AgentSettings]("f", []byte(text))
-			mustRefuse(t, err, "f:"+strings.ReplaceAll(c.expected, "\n", "\nf:"))
+			mustReject(t, err, "f:"+strings.ReplaceAll(c.expected, "\n", "\nf:"))
 		})
 	}
 }
 
 func TestWholeFile(t *testing.T) {
-	// Guards against input that exhausts memory or the stack of the parser.
+	// Guards against input that exhausts memory or the parser's stack.
 	cases := []struct{ name, text, expected string }{
 		{"empty", "", "1: the file is empty"},
 		{"comment", "# nothing\n", "1: the file is empty"},
-		{"too long", strings.Repeat("\n", maxFile+1), "1: the file is longer than 1MiB"},
-		{"long line", "A: 1\n" + strings.Repeat("[", maxLine+1), "2: the line has 1025 bytes, expected at most 1024"},
-		{"nested", "A: 1\nB: " + strings.Repeat("[", maxDepth+1), "2: brackets are nested deeper than 16 levels"},
-		{"many keys", strings.Repeat("A: 1\nB:\n- C: 1\n", maxKeys), "301: the block has more than 200 lines"},
-		{"many items", strings.Repeat("-\n", maxItems+1), "5001: the list has more than 5000 items"},
+		{"too long", strings.Repeat("\n", maxFileBytes+1), "1: the file is longer than 1MiB"},
+		{"long line", "A: 1\n" + strings.Repeat("[", maxLineBytes+1), "2: the line has 1025 bytes, expected at most 1024"},
+		{"nested", "A: 1\nB: " + strings.Repeat("[", maxFlowDepth+1), "2: brackets are nested deeper than 16 levels"},
+		{"many keys", strings.Repeat("A: 1\nB:\n- C: 1\n", maxBlockLines), "301: the block has more than 200 lines"},
+		{"many items", strings.Repeat("-\n", maxListItems+1), "5001: the list has more than 5000 items"},
 		{"two documents", agentText + "---\n" + agentText, "11: expected one YAML document, found another"},
 		{"list", "- 1\n- 2\n", "1: expected keys and values"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := Parse[AgentSettings]("f", []byte(c.text))
-			mustRefuse(t, err, "f:"+c.expected)
+			mustReject(t, err, "f:"+c.expected)
 		})
 	}
 	t.Run("syntax", func(t *testing.T) {
--- a/core/configurator/securitysettings.go
+++ b/core/configurator/securitysettings.go
@@ -1,13 +1,13 @@
 package configurator
 
-// SecuritySettings name the certificate of a process and the tokens that it accepts.
+// SecuritySettings are the certificate files of a process and the tokens that it accepts.
 type SecuritySettings struct {
-	Insecure    bool            `yaml:"Insecure"`    // no certificates, and no tokens are checked
-	Certificate string          `yaml:"Certificate"` // PEM file with the chain of this process
-	Key         string          `yaml:"Key"`         // PEM file with its private key
+	Insecure    bool            `yaml:"Insecure"`    // turns off TLS and all checks of certificates and tokens
+	Certificate string          `yaml:"Certificate"` // PEM file with the certificate chain of this process
+	Key         string          `yaml:"Key"`         // PEM file with the private key of the certificate
 	Authority   string          `yaml:"Authority"`   // PEM file with the CA certificates of the site
-	Teams       []TokenSettings `yaml:"Teams"`       // callers, at an entry
-	Operators   []TokenSettings `yaml:"Operators"`
+	Teams       []TokenSettings `yaml:"Teams"`       // tokens of callers, by team; entries only
+	Operators   []TokenSettings `yaml:"Operators"`   // tokens of operators
 }
 
 func (s *SecuritySettings) resolve(folder string) {
@@ -17,8 +17,8 @@
 }
 
 func (s *SecuritySettings) check(c checker) {
-	if c.broken("Insecure") {
-		return // the rest depends on it
+	if c.rejected("Insecure") {
+		return // whether the other keys are required depends on it
 	}
 	files := []struct{ field, path, holds string }{
 		{"Certificate", s.Certificate, "the certificate of this process"},
@@ -37,9 +37,9 @@
 	checkTokens(c, "Operators", s.Operators, s.Insecure)
 }
 
-// checkNeeded reports a list without which nobody could be let in.
-func (s *SecuritySettings) checkNeeded(c checker, field string, tokens []TokenSettings) {
-	if !s.Insecure && !c.broken("Insecure") && len(tokens) == 0 {
+// checkRequired reports an empty list of tokens, with which every request would be rejected.
+func (s *SecuritySettings) checkRequired(c checker, field string, tokens []TokenSettings) {
+	if !s.Insecure && !c.rejected("Insecure") && len(tokens) == 0 {
 		c.add(field, "missing, expected at least one name with a token digest")
 	}
 }
--- a/core/configurator/tokendigest.go
+++ b/core/configurator/tokendigest.go
@@ -7,14 +7,15 @@
 )
 
 // TokenDigest is the SHA-256 digest of a token, written in settings as 64 hexadecimal digits.
-// Settings hold no tokens, so that reading them does not let anyone act as a team or an operator.
+// Settings hold digests instead of tokens, so that a reader of the settings cannot impersonate a team
+// or an operator.
 type TokenDigest [sha256.Size]byte
 
 // NewTokenDigest returns the digest of token.
 func NewTokenDigest(token string) TokenDigest { return sha256.Sum256([]byte(token)) }
 
-// UnmarshalText accepts 64 hexadecimal digits. Its error does not repeat the text, which may be
-// a token that was put here by mistake.
+// UnmarshalText parses 64 hexadecimal digits. The error does not repeat the text, which may be a token
+// that was entered by mistake.
 func (d *TokenDigest) UnmarshalText(text []byte) error {
 	if len(text) == 2*len(d) {
 		if _, err := hex.Decode(d[:], text); err == nil {
@@ -27,5 +28,5 @@
 // MarshalText is the inverse of UnmarshalText.
 func (d TokenDigest) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// String returns 64 hexadecimal digits.
+// String returns the digest as 64 hexadecimal digits.
 func (d TokenDigest) String() string { return hex.EncodeToString(d[:]) }
--- a/core/configurator/tokensettings.go
+++ b/core/configurator/tokensettings.go
@@ -5,12 +5,13 @@
 // TokenSettings are the tokens of one team or one operator.
 type TokenSettings struct {
 	Name    string        `yaml:"Name"`
-	Digests []TokenDigest `yaml:"Digests"` // any of them is accepted, so that a token can be replaced
+	Digests []TokenDigest `yaml:"Digests"` // a token that matches any of them is accepted, so that tokens can be rotated
 }
 
-// maxDigests bounds the work for one request; replacing a token needs two.
+// maxDigests limits the comparisons for one request. Rotating a token needs two digests.
 const maxDigests = 4
 
+// check records in owners which name each digest belongs to, and reports a digest that occurs twice.
 func (s *TokenSettings) check(c checker, owners map[TokenDigest]string) {
 	c.name("Name", s.Name)
 	if len(s.Digests) == 0 || len(s.Digests) > maxDigests {
