--- a/core/supervisor/cutofferror.go
+++ b/core/supervisor/cutofferror.go
@@ -5,23 +5,23 @@
 	"strings"
 )
 
-// CutOffError is the error of a shutdown that ended before everything had stopped.
+// CutOffError is the error of a graceful shutdown that was aborted before everything had stopped.
 type CutOffError struct {
 	Cause error    // ErrStopDeadline or ErrInterrupted
-	Steps []string // not finished
-	Parts []string // still running
+	Steps []string // names of the steps that did not finish
+	Parts []string // names of the parts that were still running
 }
 
-// Error names what was cut off.
+// Error returns the cause and the names of the unfinished steps and running parts.
 func (c *CutOffError) Error() string {
 	return fmt.Sprintf("shutdown cut off: %v; steps not finished: %s; parts still running: %s",
-		c.Cause, listed(c.Steps), listed(c.Parts))
+		c.Cause, joinOrNone(c.Steps), joinOrNone(c.Parts))
 }
 
 // Unwrap returns the cause.
 func (c *CutOffError) Unwrap() error { return c.Cause }
 
-func listed(names []string) string {
+func joinOrNone(names []string) string {
 	if len(names) == 0 {
 		return "none"
 	}
--- a/core/supervisor/doc.go
+++ b/core/supervisor/doc.go
@@ -1,3 +1,3 @@
-// Package supervisor runs the parts of a process and stops them in order, reports whether the
-// process is ready, and sets up its log.
+// Package supervisor runs the parts of a process, which are its long-running functions, and stops
+// them in order. It also serves the health checks of the process and sets up its log.
 package supervisor
--- a/core/supervisor/fault.go
+++ b/core/supervisor/fault.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// fault is what a FaultLimiter remembers of one key.
+// fault is the state of a FaultLimiter for one key.
 type fault struct {
-	until   time.Time
-	dropped int
+	suppressedUntil time.Time // later reports are logged again
+	dropped         int       // reports suppressed since the last logged one
 }
--- a/core/supervisor/faultlimiter.go
+++ b/core/supervisor/faultlimiter.go
@@ -2,29 +2,30 @@
 
 import "time"
 
-// maxFaults bounds the memory for faults that differ in their key.
+// maxFaults limits the memory for faults with different keys.
 const maxFaults = 1000
 
-// FaultLimiter lets the first of equal faults through, and then one for each interval. Interval is
-// set before use.
+// FaultLimiter decides which of several equal faults are logged: the first, and then at most one in each
+// Interval. Interval must be set before use.
 type FaultLimiter struct {
 	Interval time.Duration
 	faults   map[string]*fault
 }
 
-// Allow reports whether the fault called key may be logged at now, and how many equal ones were
-// dropped since the last.
+// Allow reports whether the fault with this key may be logged at now, and how many faults with the
+// same key were dropped since the last logged one.
 func (l *FaultLimiter) Allow(now time.Time, key string) (dropped int, ok bool) {
 	f := l.find(now, key)
-	if now.Before(f.until) {
+	if now.Before(f.suppressedUntil) {
 		f.dropped++
 		return 0, false
 	}
-	dropped, f.dropped, f.until = f.dropped, 0, now.Add(l.Interval)
+	dropped, f.dropped, f.suppressedUntil = f.dropped, 0, now.Add(l.Interval)
 	return dropped, true
 }
 
-// find forgets past faults when there are too many, and beyond that counts new keys as one.
+// find returns the state of key and creates it if necessary. When there are maxFaults keys, it deletes
+// those that are no longer suppressed; if none can be deleted, new keys share the state of the empty key.
 func (l *FaultLimiter) find(now time.Time, key string) *fault {
 	if l.faults == nil {
 		l.faults = make(map[string]*fault)
@@ -34,7 +35,7 @@
 	}
 	if len(l.faults) >= maxFaults {
 		for other, f := range l.faults {
-			if !now.Before(f.until) {
+			if !now.Before(f.suppressedUntil) {
 				delete(l.faults, other)
 			}
 		}
--- a/core/supervisor/faultlog.go
+++ b/core/supervisor/faultlog.go
@@ -7,8 +7,8 @@
 	"github.com/rs/zerolog"
 )
 
-// FaultLog logs faults that may repeat quickly, such as a peer that cannot be reached. Fields
-// are set before use; it is safe for concurrent use.
+// FaultLog logs faults that may repeat quickly, such as an unreachable peer, at a limited rate. Its
+// fields must be set before use. It is safe for concurrent use.
 type FaultLog struct {
 	Log   zerolog.Logger
 	Clock func() time.Time
@@ -17,12 +17,13 @@
 	limiter FaultLimiter
 }
 
-// NewFaultLog returns a log that repeats an equal event about an equal peer once in every.
-func NewFaultLog(log zerolog.Logger, every time.Duration, clock func() time.Time) *FaultLog {
-	return &FaultLog{Log: log, Clock: clock, limiter: FaultLimiter{Interval: every}}
+// NewFaultLog returns a fault log that logs faults with the same event and peer at most once in each
+// interval.
+func NewFaultLog(log zerolog.Logger, interval time.Duration, clock func() time.Time) *FaultLog {
+	return &FaultLog{Log: log, Clock: clock, limiter: FaultLimiter{Interval: interval}}
 }
 
-// Report logs err as a warning, with the number of equal faults that were dropped before it.
+// Report logs err as a warning, with the number of equal faults dropped since the last logged one.
 func (f *FaultLog) Report(fields Fields, err error) {
 	f.mutex.Lock()
 	dropped, ok := f.limiter.Allow(f.Clock(), fields.Event+"\x00"+fields.Peer)
--- a/core/supervisor/fields.go
+++ b/core/supervisor/fields.go
@@ -6,7 +6,7 @@
 	"oleandertally/core/specifier"
 )
 
-// The field names of the log. A line has Time, Level, Process, Role and Event; Error holds the
+// The field names of the log. Every line has Time, Level, Process, Role and Event; Error holds the
 // text of an error. Payloads, results and tokens are never logged.
 const (
 	FieldTime    = "Time"
@@ -22,9 +22,9 @@
 	FieldError   = "Error"
 )
 
-// Fields are what most log lines say; empty ones are left out. Used with EmbedObject.
+// Fields are the fields that most log lines share. Empty ones are omitted. Pass them to EmbedObject.
 type Fields struct {
-	Event string // CamelCase, stable
+	Event string // kind of event in PascalCase; operators search for it, so it must not change
 	Job   specifier.JobID
 	Task  string
 	Epoch specifier.Epoch
--- a/core/supervisor/group.go
+++ b/core/supervisor/group.go
@@ -10,17 +10,17 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Group runs the named parts of a process. A part that fails does not cancel the others: the
-// process still drains before it ends.
+// Group runs the named parts of a process, each in a goroutine. A part that fails does not cancel the
+// others, since the process still has to drain before it exits.
 type Group struct {
 	ctx    context.Context
 	cancel context.CancelFunc
 	group  errgroup.Group
 	failed chan struct{}
 
-	mutex   sync.Mutex
-	running map[string]int
-	first   error
+	mutex    sync.Mutex
+	running  map[string]int
+	firstErr error
 }
 
 // NewGroup returns a group whose parts run until Cancel or until ctx ends.
@@ -30,44 +30,44 @@
 	return g
 }
 
-// Go starts a part. Its context ends when the part must return; an error that it returns after
-// that because of it is not a failure. Several parts may share a name.
+// Go starts a part. The context is cancelled when the part must return; a context error that the part
+// returns after that is not a failure. Several parts may have the same name.
 func (g *Group) Go(name string, run func(ctx context.Context) error) {
-	g.count(name, 1)
+	g.addRunning(name, 1)
 	g.group.Go(func() error {
-		defer g.count(name, -1)
-		g.record(name, run(g.ctx))
+		defer g.addRunning(name, -1)
+		g.recordFailure(name, run(g.ctx))
 		return nil
 	})
 }
 
-// Failed is closed when a part has failed.
+// Failed returns a channel that is closed when a part has failed.
 func (g *Group) Failed() <-chan struct{} { return g.failed }
 
-// Err returns the first failure, with the name of its part.
+// Err returns the first failure, wrapped with the name of the part.
 func (g *Group) Err() error {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.first
+	return g.firstErr
 }
 
-// Cancel tells every part to return.
+// Cancel cancels the context of every part.
 func (g *Group) Cancel() { g.cancel() }
 
-// Wait returns Err when every part has returned.
+// Wait waits until every part has returned, and returns Err.
 func (g *Group) Wait() error {
-	_ = g.group.Wait() // parts record their errors
+	_ = g.group.Wait() // always nil: Go records the errors of parts
 	return g.Err()
 }
 
-// Running returns the sorted names of the parts that have not returned.
+// Running returns the sorted names of the parts that have not returned yet.
 func (g *Group) Running() []string {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return slices.Sorted(maps.Keys(g.running))
 }
 
-func (g *Group) count(name string, change int) {
+func (g *Group) addRunning(name string, change int) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.running[name] += change
@@ -76,14 +76,14 @@
 	}
 }
 
-func (g *Group) record(name string, err error) {
+func (g *Group) recordFailure(name string, err error) {
 	if err == nil || g.ctx.Err() != nil && errors.IsAny(err, context.Canceled, context.Cause(g.ctx)) {
 		return
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if g.first == nil {
-		g.first = errors.Wrap(err, name)
+	if g.firstErr == nil {
+		g.firstErr = errors.Wrap(err, name)
 		close(g.failed)
 	}
 }
--- a/core/supervisor/group_test.go
+++ b/core/supervisor/group_test.go
@@ -13,7 +13,7 @@
 
 func TestGroup(t *testing.T) {
 	t.Run("first failure", func(t *testing.T) {
-		// Guards against a failure that is lost, or one that stops the other parts before the drain.
+		// Guards against a failure that is not reported, or that stops the other parts before the drain.
 		g := NewGroup(context.Background())
 		g.Go("Loop", func(ctx context.Context) error { <-ctx.Done(); return ctx.Err() })
 		g.Go("Disk", func(context.Context) error { return errBroken })
@@ -23,14 +23,15 @@
 		must.ErrorIs(t, g.Wait(), errBroken)
 	})
 	t.Run("cancellation before the end", func(t *testing.T) {
-		// Guards against a part that gives up on a cancelled call without anybody noticing.
+		// Guards against an unnoticed end of a part that returns context.Canceled although its own context
+		// has not ended.
 		g := NewGroup(context.Background())
 		g.Go("Stream", func(context.Context) error { return context.Canceled })
 		must.ErrorIs(t, g.Wait(), context.Canceled)
 		g.Cancel()
 	})
 	t.Run("failure after cancellation", func(t *testing.T) {
-		// Guards against a last sync that fails silently.
+		// Guards against an unreported failure during the shutdown, such as that of the last sync.
 		g := NewGroup(context.Background())
 		g.Go("Disk", func(ctx context.Context) error { <-ctx.Done(); return errBroken })
 		g.Cancel()
@@ -77,7 +78,7 @@
 	must.NoError(t, g.Wait())
 
 	t.Run("closed listener", func(t *testing.T) {
-		// Guards against a server that stops accepting without a failure.
+		// Guards against a server that stops accepting connections without returning an error.
 		must.Error(t, Serve(&http.Server{}, listener)(context.Background()))
 	})
 }
--- a/core/supervisor/health.go
+++ b/core/supervisor/health.go
@@ -10,19 +10,19 @@
 	"time"
 )
 
-// probeTimeout is shorter than the usual timeout of a platform's probe, 1 s, so that the answer
-// still arrives.
+// probeTimeout is shorter than 1 s, the usual timeout of a platform's liveness probe, so that the
+// platform still receives the answer.
 const probeTimeout = 800 * time.Millisecond
 
-// Health answers whether a process is ready for work and whether it is alive. It is safe for
-// concurrent use.
+// Health tracks whether a process is ready for work and whether it is alive, and serves both over HTTP.
+// It is safe for concurrent use.
 type Health struct {
-	// Probe is asked for liveness, for example by passing an event through the control
-	// goroutine; nil means that answering is enough. It is set before use.
+	// Probe checks liveness, for example by passing an event through the control goroutine. If it is
+	// nil, a process that answers the request counts as alive. It must be set before use.
 	Probe func(ctx context.Context) error
 
 	mutex   sync.Mutex
-	unmet   map[string]string // reason by condition
+	unmet   map[string]string // reasons by name of the condition
 	stopped bool
 }
 
@@ -35,28 +35,28 @@
 	return h
 }
 
-// SetMet records that condition holds.
+// SetMet records that condition is met.
 func (h *Health) SetMet(condition string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	delete(h.unmet, condition)
 }
 
-// SetUnmet records that condition does not hold, and why.
+// SetUnmet records that condition is not met, and why.
 func (h *Health) SetUnmet(condition, reason string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.unmet[condition] = reason
 }
 
-// Stop makes the process not ready for good.
+// Stop makes the process permanently not ready, for its shutdown.
 func (h *Health) Stop() {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.stopped = true
 }
 
-// Unmet returns one line for each reason why the process is not ready, sorted.
+// Unmet returns one line for each reason why the process is not ready, sorted by condition.
 func (h *Health) Unmet() []string {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -74,11 +74,11 @@
 func (h *Health) Register(mux *http.ServeMux) {
 	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, r *http.Request) {
 		unmet := h.Unmet()
-		answer(w, len(unmet) == 0, map[string]any{"Ready": len(unmet) == 0, "Unmet": unmet})
+		writeJSON(w, len(unmet) == 0, map[string]any{"Ready": len(unmet) == 0, "Unmet": unmet})
 	})
 	mux.HandleFunc("GET /livez", func(w http.ResponseWriter, r *http.Request) {
 		err := h.probe(r.Context())
-		answer(w, err == nil, map[string]any{"Live": err == nil})
+		writeJSON(w, err == nil, map[string]any{"Live": err == nil})
 	})
 }
 
@@ -91,10 +91,10 @@
 	return h.Probe(ctx)
 }
 
-func answer(w http.ResponseWriter, ok bool, body map[string]any) {
+func writeJSON(w http.ResponseWriter, ok bool, body map[string]any) {
 	w.Header().Set("Content-Type", "application/json")
 	if !ok {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
-	_ = json.NewEncoder(w).Encode(body) // the prober has gone
+	_ = json.NewEncoder(w).Encode(body) // fails only if the client has disconnected
 }
--- a/core/supervisor/health_test.go
+++ b/core/supervisor/health_test.go
@@ -20,7 +20,8 @@
 }
 
 func TestReady(t *testing.T) {
-	// Guards against a load balancer that sends work to a process that cannot do it.
+	// Guards against a process that reports ready, and receives work, while a condition is not met or
+	// during its shutdown.
 	h := NewHealth("Leader", "Profiles")
 	h.SetMet("Profiles")
 	mustAnswer(t, h, "/readyz", 503, `{"Ready":false,"Unmet":["Leader: starting"]}`)
@@ -34,7 +35,7 @@
 }
 
 func TestLive(t *testing.T) {
-	// Guards against a platform that kills a process that drains, or keeps one that is stuck.
+	// Guards against a platform that kills a draining process, or keeps one whose probe fails.
 	h := NewHealth("Leader")
 	h.Stop()
 	mustAnswer(t, h, "/livez", 200, `{"Live":true}`)
--- a/core/supervisor/logger.go
+++ b/core/supervisor/logger.go
@@ -11,7 +11,7 @@
 	"oleandertally/core/specifier"
 )
 
-// setNames runs once, because zerolog keeps its field names in package variables.
+// setNames sets zerolog's field names. It runs only once, because they are package variables of zerolog.
 var setNames = sync.OnceFunc(func() {
 	zerolog.TimestampFieldName = FieldTime
 	zerolog.LevelFieldName = FieldLevel
@@ -30,8 +30,8 @@
 	zerolog.ErrorLevel: "Error",
 }
 
-// NewLogger returns the log of a process: one JSON event a line on out. level is one of Debug,
-// Info, Warn and Error; any other is an error.
+// NewLogger returns the log of a process, which writes one JSON object per line to out. It returns an
+// error if level is not one of Debug, Info, Warn and Error.
 func NewLogger(out io.Writer, level, process string, role specifier.Role) (zerolog.Logger, error) {
 	setNames()
 	for parsed, name := range levelNames {
--- a/core/supervisor/logger_test.go
+++ b/core/supervisor/logger_test.go
@@ -15,7 +15,8 @@
 
 func TestLogger(t *testing.T) {
 	t.Run("names", func(t *testing.T) {
-		// Guards against renamed fields, on which operators' searches depend, and events over several lines.
+		// Guards against renamed fields, on which operators' searches depend, and against events that span
+		// several lines.
 		var out bytes.Buffer
 		log, err := NewLogger(&out, "Info", "entry-1", specifier.Entry)
 		must.NoError(t, err)
@@ -53,7 +54,7 @@
 		must.Eq(t, lines, strings.Count(out.String(), "\n"))
 	}
 	t.Run("repeats", func(t *testing.T) {
-		// Guards against a log that a broken link fills.
+		// Guards against a log that fills with equal faults of one broken connection.
 		report("agent-1", 1)
 		report("agent-1", 0)
 		report("agent-1", 0)
@@ -63,7 +64,7 @@
 		must.StrContains(t, out.String(), `"Dropped":2`)
 	})
 	t.Run("bounded memory", func(t *testing.T) {
-		// Guards against faults with ever new names that use up memory.
+		// Guards against memory that grows with every fault of a new peer.
 		for i := range 2 * maxFaults {
 			faults.Report(Fields{Event: "Unreachable", Peer: fmt.Sprint(i)}, errBroken)
 		}
--- a/core/supervisor/logwriter_test.go
+++ b/core/supervisor/logwriter_test.go
@@ -9,32 +9,32 @@
 	"github.com/shoenig/test/must"
 )
 
-// stuckOut is a standard output that nobody reads until it is released.
-type stuckOut struct {
+// blockedOutput is an output that blocks every write until release is closed.
+type blockedOutput struct {
 	release chan struct{}
 	mutex   sync.Mutex
 	out     bytes.Buffer
 }
 
-func (s *stuckOut) Write(line []byte) (int, error) {
+func (s *blockedOutput) Write(line []byte) (int, error) {
 	<-s.release
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.out.Write(line)
 }
 
-func (s *stuckOut) text() string {
+func (s *blockedOutput) text() string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.out.String()
 }
 
 func TestLogWriter(t *testing.T) {
-	// Guards against a process that stands still because nobody reads its log.
+	// Guards against a process that blocks because nobody reads its log.
 	t.Run("an output that nobody reads", func(t *testing.T) {
-		out := &stuckOut{release: make(chan struct{})}
+		out := &blockedOutput{release: make(chan struct{})}
 		w := NewLogWriter(out)
-		for range 3 * linesKept {
+		for range 3 * maxBufferedLines {
 			n, err := w.Write([]byte("line\n"))
 			must.NoError(t, err)
 			must.Eq(t, 5, n)
@@ -44,7 +44,7 @@
 	})
 	// Guards against lines that are lost although the output is read.
 	t.Run("an output that is read", func(t *testing.T) {
-		out := &stuckOut{release: make(chan struct{})}
+		out := &blockedOutput{release: make(chan struct{})}
 		close(out.release)
 		w := NewLogWriter(out)
 		for range 100 {
--- a/core/supervisor/main_test.go
+++ b/core/supervisor/main_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain guards against goroutines that are left after a shutdown.
+// TestMain guards against goroutines that leak after a shutdown.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/core/supervisor/signals.go
+++ b/core/supervisor/signals.go
@@ -6,10 +6,10 @@
 	"syscall"
 )
 
-// Signals returns the channel on which SIGTERM and SIGINT arrive, and a function that restores
-// their usual effect.
+// Signals returns a channel that receives SIGTERM and SIGINT, and a function that restores their
+// default effect.
 func Signals() (<-chan os.Signal, func()) {
-	// Room for the signal that starts the shutdown and the one that cuts it off.
+	// Buffers the signal that starts the shutdown and the one that aborts it.
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	return signals, func() { signal.Stop(signals) }
--- a/core/supervisor/supervisor.go
+++ b/core/supervisor/supervisor.go
@@ -10,36 +10,37 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Supervisor ends a process in order. Fields are set before Run.
+// Supervisor runs a process until it must stop, and then shuts it down gracefully: first the steps in
+// order, then the parts. Its fields must be set before Run.
 type Supervisor struct {
 	Log        zerolog.Logger
-	Health     *Health          // not ready from the start of the shutdown
-	Group      *Group           // its parts are told to return after the last step
+	Health     *Health          // set to not ready at the start of the shutdown
+	Group      *Group           // its parts are cancelled after the last step
 	Steps      []Step           // in the order in which they run
-	StopWithin time.Duration    // from the start of the shutdown until it is cut off
-	Signals    <-chan os.Signal // the first starts the shutdown, the second cuts it off
+	StopWithin time.Duration    // time limit of the shutdown
+	Signals    <-chan os.Signal // the first signal starts the shutdown, the second aborts it
 
 	helpers errgroup.Group
 }
 
-// Run waits for a signal, the end of ctx or the failure of a part, and then shuts down. It
-// returns nil after a whole shutdown, the failure of a part, or a *CutOffError, after which the
-// process must exit: what was cut off may still be running.
+// Run waits for a signal, the end of ctx or the failure of a part, and then shuts the process down. It
+// returns nil after a complete shutdown, or else the failure of a part or a *CutOffError. After a
+// *CutOffError the process must exit, because steps and parts may still be running.
 func (s *Supervisor) Run(ctx context.Context) error {
 	if err := s.checkFields(); err != nil {
 		return err
 	}
 	s.logEvent("ProcessStarted").Msg("started")
-	s.wait(ctx)
+	s.waitForShutdown(ctx)
 	s.Health.Stop()
-	stopping, cancel := context.WithTimeoutCause(context.WithoutCancel(ctx), s.StopWithin, ErrStopDeadline)
+	stopCtx, cancel := context.WithTimeoutCause(context.WithoutCancel(ctx), s.StopWithin, ErrStopDeadline)
 	defer cancel()
-	stopping, interrupt := context.WithCancelCause(stopping)
+	stopCtx, interrupt := context.WithCancelCause(stopCtx)
 	defer interrupt(nil)
-	s.helpers.Go(func() error { s.watch(stopping, interrupt); return nil })
-	left := s.runSteps(stopping)
-	parts := s.stopParts(stopping)
-	return s.finish(stopping, left, parts)
+	s.helpers.Go(func() error { s.watchSignals(stopCtx, interrupt); return nil })
+	unfinished := s.runSteps(stopCtx)
+	parts := s.stopParts(stopCtx)
+	return s.finish(stopCtx, unfinished, parts)
 }
 
 func (s *Supervisor) checkFields() error {
@@ -49,8 +50,8 @@
 	return nil
 }
 
-// wait returns when the shutdown must start.
-func (s *Supervisor) wait(ctx context.Context) {
+// waitForShutdown returns when the shutdown must start, and logs why.
+func (s *Supervisor) waitForShutdown(ctx context.Context) {
 	select {
 	case received := <-s.Signals:
 		s.logEvent("ShutdownStarted").Str("Signal", received.String()).Msg("shutting down")
@@ -61,33 +62,33 @@
 	}
 }
 
-// watch cuts the shutdown off when another signal arrives.
-func (s *Supervisor) watch(stopping context.Context, interrupt context.CancelCauseFunc) {
+// watchSignals aborts the shutdown when another signal arrives.
+func (s *Supervisor) watchSignals(stopCtx context.Context, interrupt context.CancelCauseFunc) {
 	select {
 	case <-s.Signals:
 		interrupt(ErrInterrupted)
-	case <-stopping.Done():
+	case <-stopCtx.Done():
 	}
 }
 
-// runSteps returns the names of the steps that did not finish.
-func (s *Supervisor) runSteps(stopping context.Context) []string {
+// runSteps runs the steps in order and returns the names of those that did not finish.
+func (s *Supervisor) runSteps(stopCtx context.Context) []string {
 	for i, step := range s.Steps {
-		if !s.runStep(stopping, i, step) {
-			var left []string
+		if !s.runStep(stopCtx, i, step) {
+			var unfinished []string
 			for _, other := range s.Steps[i:] {
-				left = append(left, other.Name)
+				unfinished = append(unfinished, other.Name)
 			}
-			return left
+			return unfinished
 		}
 	}
 	return nil
 }
 
-// runStep reports whether step ended before the shutdown was cut off. A step that ignores its
-// context is left behind. A step that fails does not keep the next one from running.
-func (s *Supervisor) runStep(stopping context.Context, i int, step Step) bool {
-	if stopping.Err() != nil {
+// runStep runs one step and reports whether it ended before the shutdown was aborted. It does not wait
+// for a step that ignores its context. A step that fails counts as ended, so the next one still runs.
+func (s *Supervisor) runStep(stopCtx context.Context, i int, step Step) bool {
+	if stopCtx.Err() != nil {
 		return false
 	}
 	progress := func(event *zerolog.Event, name string) *zerolog.Event {
@@ -95,10 +96,10 @@
 	}
 	progress(s.Log.Info(), "StepStarted").Msg("shutdown step started")
 	ended := make(chan error, 1)
-	s.helpers.Go(func() error { ended <- step.Run(stopping); return nil })
+	s.helpers.Go(func() error { ended <- step.Run(stopCtx); return nil })
 	select {
 	case err := <-ended:
-		if err != nil && stopping.Err() != nil {
+		if err != nil && stopCtx.Err() != nil {
 			return false
 		}
 		if err != nil {
@@ -107,17 +108,18 @@
 			progress(s.Log.Info(), "StepFinished").Msg("shutdown step finished")
 		}
 		return true
-	case <-stopping.Done():
+	case <-stopCtx.Done():
 		return false
 	}
 }
 
-// stopParts tells the parts to return and gives the names of those that do not in time.
-func (s *Supervisor) stopParts(stopping context.Context) []string {
-	cut := stopping.Err() != nil
+// stopParts cancels the parts and returns the names of those that do not return in time. If the
+// shutdown is already aborted, it does not wait and returns all running parts.
+func (s *Supervisor) stopParts(stopCtx context.Context) []string {
+	aborted := stopCtx.Err() != nil
 	running := s.Group.Running()
 	s.Group.Cancel()
-	if cut {
+	if aborted {
 		return running
 	}
 	ended := make(chan struct{})
@@ -125,14 +127,14 @@
 	select {
 	case <-ended:
 		return nil
-	case <-stopping.Done():
+	case <-stopCtx.Done():
 		return s.Group.Running()
 	}
 }
 
-func (s *Supervisor) finish(stopping context.Context, steps, parts []string) error {
+func (s *Supervisor) finish(stopCtx context.Context, steps, parts []string) error {
 	if len(steps)+len(parts) > 0 {
-		cut := &CutOffError{Cause: context.Cause(stopping), Steps: steps, Parts: parts}
+		cut := &CutOffError{Cause: context.Cause(stopCtx), Steps: steps, Parts: parts}
 		s.Log.Error().Str(FieldEvent, "ShutdownCutOff").Err(cut.Cause).
 			Strs("Steps", steps).Strs("Parts", parts).Msg("shutdown cut off")
 		return errors.CombineErrors(cut, s.Group.Err())
--- a/core/supervisor/supervisor_test.go
+++ b/core/supervisor/supervisor_test.go
@@ -18,7 +18,7 @@
 
 var errBroken = errors.New("broken")
 
-// fixture is a supervisor with one part, whose log and finished steps can be read.
+// fixture is a supervisor with one part. It records the log and the names of the finished steps.
 type fixture struct {
 	*Supervisor
 	signals chan os.Signal
@@ -45,8 +45,8 @@
 	return Step{name, func(context.Context) error { f.done = append(f.done, name); return nil }}
 }
 
-// hold adds a step that ends only with its context.
-func (f *fixture) hold(name string) {
+// addBlockingStep adds a step that returns only when its context ends.
+func (f *fixture) addBlockingStep(name string) {
 	f.Steps = append(f.Steps, Step{name, func(ctx context.Context) error { <-ctx.Done(); return ctx.Err() }})
 }
 
@@ -72,7 +72,7 @@
 
 func TestShutdown(t *testing.T) {
 	t.Run("signal", func(t *testing.T) {
-		// Guards against steps that run out of order, or beside parts that have ended.
+		// Guards against steps that run out of order or after the parts have stopped.
 		synctest.Test(t, func(t *testing.T) {
 			f := newFixture("Refuse", "Drain")
 			f.Steps = append(f.Steps, Step{"Look", func(context.Context) error {
@@ -89,7 +89,7 @@
 		})
 	})
 	t.Run("end of the context", func(t *testing.T) {
-		// Guards against steps that see the ended context and do nothing.
+		// Guards against steps that inherit the ended context of Run and so do nothing.
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			cancel()
@@ -100,7 +100,7 @@
 		})
 	})
 	t.Run("failed part", func(t *testing.T) {
-		// Guards against a failure that ends a process without draining it.
+		// Guards against a process that exits without draining because a part failed.
 		synctest.Test(t, func(t *testing.T) {
 			f := newFixture("Drain")
 			f.Group.Go("Disk", func(context.Context) error { return errBroken })
@@ -111,7 +111,7 @@
 		})
 	})
 	t.Run("failed step", func(t *testing.T) {
-		// Guards against a failed step that keeps later ones, such as a last sync, from running.
+		// Guards against a failed step that prevents later ones, such as the last sync.
 		synctest.Test(t, func(t *testing.T) {
 			f := newFixture()
 			f.Steps = []Step{{"Drain", func(context.Context) error { return errBroken }}, f.step("Sync")}
@@ -131,7 +131,7 @@
 		// Guards against a drain that never ends.
 		synctest.Test(t, func(t *testing.T) {
 			f := newFixture("Refuse")
-			f.hold("Drain")
+			f.addBlockingStep("Drain")
 			f.Steps = append(f.Steps, f.step("Sync"))
 			f.signals <- syscall.SIGTERM
 			mustCutOff(t, f.Run(context.Background()), ErrStopDeadline, []string{"Drain", "Sync"}, []string{"Loop"})
@@ -140,10 +140,10 @@
 		})
 	})
 	t.Run("second signal", func(t *testing.T) {
-		// Guards against an operator who cannot end a process that drains.
+		// Guards against a drain that an operator cannot abort.
 		synctest.Test(t, func(t *testing.T) {
 			f := newFixture()
-			f.hold("Drain")
+			f.addBlockingStep("Drain")
 			f.signals <- syscall.SIGTERM
 			f.signals <- syscall.SIGTERM
 			mustCutOff(t, f.Run(context.Background()), ErrInterrupted, []string{"Drain"}, []string{"Loop"})
@@ -151,7 +151,7 @@
 		})
 	})
 	t.Run("step that ignores its context", func(t *testing.T) {
-		// Guards against one stuck step that keeps the process alive.
+		// Guards against a stuck step that keeps the process from exiting.
 		synctest.Test(t, func(t *testing.T) {
 			release := make(chan struct{})
 			defer close(release)
