--- a/core/authenticator/authenticator.go
+++ b/core/authenticator/authenticator.go
@@ -14,7 +14,7 @@
 	"oleandertally/core/specifier"
 )
 
-// Authenticator checks the peers, teams and operators of one process. It is safe for concurrent use.
+// Authenticator authenticates peers, teams and operators for one process. It is safe for concurrent use.
 type Authenticator struct {
 	insecure     bool
 	certificates certificates
@@ -22,8 +22,8 @@
 	operators    Tokens
 }
 
-// New returns the authenticator of the process self. report gets the faults of later reloads; it
-// must not block. The error names the file that cannot be used.
+// New returns the authenticator of the process self. It calls report, which must not block, with the errors
+// of later reloads of the certificates. The error of New names the file that cannot be used.
 func New(settings configurator.SecuritySettings, self Peer, clock func() time.Time, report func(error)) (*Authenticator, error) {
 	a := &Authenticator{
 		insecure:     settings.Insecure,
@@ -40,7 +40,7 @@
 	return a, nil
 }
 
-// NotAfter returns when the certificate of this process expires, zero when Insecure.
+// NotAfter returns when the certificate of this process expires, or the zero time if Insecure.
 func (a *Authenticator) NotAfter() time.Time {
 	if a.insecure {
 		return time.Time{}
@@ -48,41 +48,44 @@
 	return a.certificates.latest().certificate.Leaf.NotAfter
 }
 
-// ServerCredentials accept peers of the given roles.
+// ServerCredentials returns credentials of a server that accepts clients with one of the roles.
 func (a *Authenticator) ServerCredentials(accepted ...specifier.Role) credentials.TransportCredentials {
 	if a.insecure {
 		return insecure.NewCredentials()
 	}
-	config := a.config(x509.ExtKeyUsageClientAuth, func(peer Peer) bool { return slices.Contains(accepted, peer.Role) })
-	config.ClientAuth = tls.RequireAnyClientCert // VerifyConnection verifies it
+	config := a.peerTLS(x509.ExtKeyUsageClientAuth, func(peer Peer) bool { return slices.Contains(accepted, peer.Role) })
+	config.ClientAuth = tls.RequireAnyClientCert // VerifyConnection verifies the certificate
 	return credentials.NewTLS(config)
 }
 
-// ClientCredentials accept a server of the role, and with a name only that one.
+// ClientCredentials returns credentials of a client that accepts a server with the role and, unless name
+// is empty, with that name.
 func (a *Authenticator) ClientCredentials(role specifier.Role, name string) credentials.TransportCredentials {
 	if a.insecure {
 		return insecure.NewCredentials()
 	}
-	config := a.config(x509.ExtKeyUsageServerAuth, func(peer Peer) bool {
+	config := a.peerTLS(x509.ExtKeyUsageServerAuth, func(peer Peer) bool {
 		return peer.Role == role && (name == "" || peer.Name == name)
 	})
-	// Replaces the check of the host name, which is an address here, by the one of role and name.
+	// Turns off the check of the host name, which is an IP address here. VerifyConnection checks the chain,
+	// the role and the name instead.
 	config.InsecureSkipVerify = true
 	return credentials.NewTLS(config)
 }
 
-// CallerTLS returns the TLS configuration of the entry's HTTP server, or nil when Insecure.
-// Callers show tokens, not certificates.
+// CallerTLS returns the TLS configuration of the entry's HTTP server, or nil if Insecure. Callers
+// authenticate with tokens instead of client certificates.
 func (a *Authenticator) CallerTLS() *tls.Config {
 	if a.insecure {
 		return nil
 	}
-	config := a.base()
+	config := a.baseTLS()
 	config.NextProtos = []string{"h2", "http/1.1"}
 	return config
 }
 
-func (a *Authenticator) base() *tls.Config {
+// baseTLS returns a configuration that presents the current certificate of this process.
+func (a *Authenticator) baseTLS() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		Time:       a.certificates.clock,
@@ -92,10 +95,11 @@
 	}
 }
 
-// config verifies each connection against the authority in force at that time.
-func (a *Authenticator) config(usage x509.ExtKeyUsage, accepts func(Peer) bool) *tls.Config {
-	config := a.base()
-	config.SessionTicketsDisabled = true // links are few and long
+// peerTLS returns a configuration for mutual TLS, which verifies each connection against the authority that
+// is loaded at that time.
+func (a *Authenticator) peerTLS(usage x509.ExtKeyUsage, accepts func(Peer) bool) *tls.Config {
+	config := a.baseTLS()
+	config.SessionTicketsDisabled = true // connections are few and long-lived, so resumption saves little
 	config.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 		return &a.certificates.latest().certificate, nil
 	}
@@ -105,6 +109,7 @@
 	return config
 }
 
+// verify checks the certificate chain of the peer, and that accepts returns true for the peer.
 func (a *Authenticator) verify(state tls.ConnectionState, usage x509.ExtKeyUsage, accepts func(Peer) bool) error {
 	if len(state.PeerCertificates) == 0 {
 		return ErrNoCertificate
--- a/core/authenticator/authenticator_test.go
+++ b/core/authenticator/authenticator_test.go
@@ -26,8 +26,8 @@
 
 const checkMethod = "/grpc.health.v1.Health/Check"
 
-// call connects client to a server of the process server that admits guard, and calls it once
-// with a message of size bytes.
+// call starts a gRPC server that enforces guard, connects client to it, and makes one call with a message
+// of size bytes.
 func call(t *testing.T, server, client *Authenticator, guard Guard, role specifier.Role, name string, size int) error {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -74,7 +74,7 @@
 		mustAdmit(t, controller, entry, specifier.Entry, specifier.Agent)
 	})
 	t.Run("wrong role of the client", func(t *testing.T) {
-		// Guards against an agent that acts as an entry.
+		// Guards against an agent that impersonates an entry.
 		mustRefuse(t, callAs(t, controller, agent, specifier.Entry), codes.Unavailable, "")
 	})
 	t.Run("wrong method for the role", func(t *testing.T) {
@@ -83,17 +83,17 @@
 		mustRefuse(t, err, codes.PermissionDenied, "Agent/agent-1: the peer may not do this")
 	})
 	t.Run("method that is not listed", func(t *testing.T) {
-		// Guards against a new method that anyone may call.
+		// Guards against a new method that every peer may call because the guard does not list it.
 		err := call(t, controller.Authenticator, entry.Authenticator, Guard{"/other": {specifier.Entry}}, specifier.Controller, "", 0)
 		mustRefuse(t, err, codes.PermissionDenied, "nobody may call this method")
 	})
 	t.Run("wrong role of the server", func(t *testing.T) {
-		// Guards against an agent that answers as a controller.
+		// Guards against a client that accepts an answer from a server with another role.
 		err := call(t, controller.Authenticator, entry.Authenticator, guard, specifier.Agent, "", 0)
 		mustRefuse(t, err, codes.Unavailable, "Controller/controller-1: the peer may not do this")
 	})
 	t.Run("wrong name of the server", func(t *testing.T) {
-		// Guards against one controller that takes the address of another.
+		// Guards against a controller that answers at the address of another one.
 		err := call(t, controller.Authenticator, entry.Authenticator, guard, specifier.Controller, "controller-2", 0)
 		mustRefuse(t, err, codes.Unavailable, "Controller/controller-1: the peer may not do this")
 	})
@@ -102,7 +102,7 @@
 		mustRefuse(t, callAs(t, controller, stranger, specifier.Entry), codes.Unavailable, "certificate of the peer")
 	})
 	t.Run("certificate for servers only", func(t *testing.T) {
-		// Guards against a certificate that is used for what its authority did not allow.
+		// Guards against a certificate that is used for a purpose that its authority did not permit.
 		narrow := *site
 		narrow.usages = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth}
 		server := newProcess(t, &narrow, specifier.Controller, "controller-1")
@@ -134,14 +134,14 @@
 	entry := newProcess(t, next, specifier.Entry, "entry-1")
 
 	t.Run("replaced files", func(t *testing.T) {
-		// Guards against a process that must be restarted to get a new certificate, and one that reads its files
-		// for each handshake.
+		// Guards against a process that loads a new certificate only after a restart, and against one that reads
+		// its files at every handshake.
 		controller := newProcess(t, site, self.Role, self.Name)
 		mustRefuse(t, callAs(t, controller, entry, specifier.Entry), codes.Unavailable, "")
 		next.issue(t, filepath.Dir(controller.settings.Key), self.URI())
-		controller.now = start.Add(checkEvery - 1)
+		controller.now = start.Add(reloadInterval - 1)
 		mustRefuse(t, callAs(t, controller, entry, specifier.Entry), codes.Unavailable, "")
-		controller.now = start.Add(checkEvery)
+		controller.now = start.Add(reloadInterval)
 		mustAdmit(t, controller, entry, specifier.Entry)
 		must.SliceEmpty(t, controller.reports)
 	})
@@ -168,7 +168,7 @@
 	}
 	for _, b := range broken {
 		t.Run(b.name, func(t *testing.T) {
-			// Guards against a half replaced set of files that cuts a running process off.
+			// Guards against a running process that rejects all peers because its files are only partly replaced.
 			controller := newProcess(t, site, self.Role, self.Name)
 			friend := newProcess(t, site, specifier.Entry, "entry-1")
 			b.change(t, controller.settings)
--- a/core/authenticator/authority_test.go
+++ b/core/authenticator/authority_test.go
@@ -22,11 +22,11 @@
 
 var start = time.Date(2026, 12, 4, 12, 0, 0, 0, time.UTC)
 
-// authority issues certificates for a test.
+// authority is a certificate authority for tests.
 type authority struct {
 	key         *ecdsa.PrivateKey
 	certificate *x509.Certificate
-	usages      []x509.ExtKeyUsage // of the certificates it issues
+	usages      []x509.ExtKeyUsage // extended key usages of the issued certificates
 }
 
 func newAuthority(t *testing.T) *authority {
@@ -49,8 +49,8 @@
 	return der
 }
 
-// issue writes a certificate for each peer name in URIs, valid for an hour, its key and the
-// authority to folder.
+// issue writes to folder a certificate with the given URI names, which expires an hour after start, its key
+// and the certificate of the authority.
 func (a *authority) issue(t *testing.T, folder string, uris ...*url.URL) configurator.SecuritySettings {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -72,7 +72,7 @@
 	must.NoError(t, os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600))
 }
 
-// process is one authenticator whose clock and files a test changes.
+// process is an authenticator whose clock and files a test can change. It records the reported errors.
 type process struct {
 	*Authenticator
 	settings configurator.SecuritySettings
--- a/core/authenticator/certificates.go
+++ b/core/authenticator/certificates.go
@@ -10,13 +10,13 @@
 	"oleandertally/core/configurator"
 )
 
-// checkEvery bounds how often new handshakes read the files again. An expired certificate must be
-// replaced anyway well before a second counts.
-const checkEvery = time.Second
+// reloadInterval is the shortest time between two reads of the files. A delay of 1 s does not matter,
+// because a certificate is replaced well before it expires.
+const reloadInterval = time.Second
 
-// certificates holds the certificate of this process and the authority, and reads them again
-// when a handshake finds their files changed. Files that cannot be used leave the former content
-// in force: a replacement writes several files, and a handshake may come between two of them.
+// certificates holds the certificate and key of this process and the CA certificates, and reloads them from
+// their files during handshakes. If the files cannot be used, the previous content stays in use: a
+// replacement writes several files, and a handshake may happen between two of the writes.
 type certificates struct {
 	settings configurator.SecuritySettings
 	self     Peer
@@ -24,8 +24,8 @@
 	report   func(error)
 
 	current atomic.Pointer[material]
-	mutex   sync.Mutex // held while the files are read
-	checked time.Time
+	mutex   sync.Mutex // locked while the files are read
+	checked time.Time  // when the files were last read
 }
 
 // load reads the files for the first time.
@@ -38,12 +38,12 @@
 	return err
 }
 
-// latest returns the content in force. Only one handshake reads files; the others go on with
-// what is in force.
+// latest returns the current content. It first reads the files again after reloadInterval. Only one
+// handshake at a time does so; concurrent ones use the previous content.
 func (c *certificates) latest() *material {
 	if c.mutex.TryLock() {
 		defer c.mutex.Unlock()
-		if now := c.clock(); now.Sub(c.checked) >= checkEvery {
+		if now := c.clock(); now.Sub(c.checked) >= reloadInterval {
 			c.checked = now
 			c.reload()
 		}
@@ -60,12 +60,13 @@
 	c.current.Store(loaded)
 }
 
+// read returns the content of the files, or the current material if they have not changed.
 func (c *certificates) read() (*material, error) {
 	raw, err := readFiles(c.settings)
 	if err != nil {
 		return nil, err
 	}
-	if current := c.current.Load(); current != nil && current.holds(raw) {
+	if current := c.current.Load(); current != nil && current.matches(raw) {
 		return current, nil
 	}
 	loaded, err := newMaterial(c.settings, raw)
--- a/core/authenticator/doc.go
+++ b/core/authenticator/doc.go
@@ -1,7 +1,7 @@
-// Package authenticator decides who may connect and who is asking: mutual TLS between processes,
-// tokens for teams and operators. Settings with Insecure: true turn all of it off.
+// Package authenticator authenticates processes by mutual TLS, and teams and operators by tokens. It also
+// decides which roles may call which gRPC methods. Settings with Insecure: true turn all of this off.
 //
-// A certificate names its process in one URI subject alternative name of the form
-// oleandertally://ROLE/NAME, such as oleandertally://Entry/entry-1. Addresses are not checked, so
-// that a replaced host needs no new certificate for its new address.
+// A certificate names its process in exactly one URI subject alternative name of the form
+// oleandertally://ROLE/NAME, such as oleandertally://Entry/entry-1. Addresses are not checked, so that a
+// process that moves to a host with another address can keep its certificate.
 package authenticator
--- a/core/authenticator/errors.go
+++ b/core/authenticator/errors.go
@@ -2,7 +2,7 @@
 
 import "github.com/cockroachdb/errors"
 
-// What a check refuses.
+// The errors of failed checks.
 var (
 	ErrUnauthorized  = errors.New("unknown name or wrong token")
 	ErrNoCertificate = errors.New("the peer sent no certificate")
--- a/core/authenticator/guard.go
+++ b/core/authenticator/guard.go
@@ -11,12 +11,12 @@
 	"oleandertally/core/specifier"
 )
 
-// Guard says which roles may call each gRPC method, by its full name such as
-// /package.Service/Method. A method that is not listed is refused.
+// Guard maps the full name of a gRPC method, such as /package.Service/Method, to the roles that may call
+// it. Calls of other methods are rejected.
 type Guard map[string][]specifier.Role
 
-// ServerOptions are those of a gRPC server that admits the roles in guard to their methods and
-// refuses messages longer than maxMessage.
+// ServerOptions returns the options of a gRPC server that enforces guard and rejects messages longer than
+// maxMessage.
 func (a *Authenticator) ServerOptions(guard Guard, maxMessage configurator.ByteSize) []grpc.ServerOption {
 	return []grpc.ServerOption{
 		grpc.Creds(a.ServerCredentials(guard.roles()...)),
@@ -37,7 +37,8 @@
 	}
 }
 
-// DialOptions are those of a connection to the process of the role, and with a name only to that one.
+// DialOptions returns the options of a gRPC connection to a process with the role and, unless name is
+// empty, with that name.
 func (a *Authenticator) DialOptions(role specifier.Role, name string, maxMessage configurator.ByteSize) []grpc.DialOption {
 	return []grpc.DialOption{
 		grpc.WithTransportCredentials(a.ClientCredentials(role, name)),
@@ -45,7 +46,7 @@
 	}
 }
 
-// roles returns every role that may call some method.
+// roles returns every role that may call at least one method. A role can occur more than once.
 func (g Guard) roles() []specifier.Role {
 	var all []specifier.Role
 	for _, accepted := range g {
--- a/core/authenticator/material.go
+++ b/core/authenticator/material.go
@@ -12,10 +12,10 @@
 	"oleandertally/core/configurator"
 )
 
-// maxPEM bounds a certificate or key file, in bytes.
+// maxPEM is the size limit of a certificate, key or token file in bytes.
 const maxPEM = 1 << 20
 
-// material is what the three files of a process hold at one time.
+// material is the raw and parsed content of the certificate, key and authority files, read together.
 type material struct {
 	raw         [3][]byte // certificate, key, authority
 	certificate tls.Certificate
@@ -62,7 +62,8 @@
 	return &material{raw, certificate, authority, self}, nil
 }
 
-func (m *material) holds(raw [3][]byte) bool {
+// matches reports whether m was parsed from raw.
+func (m *material) matches(raw [3][]byte) bool {
 	for i := range raw {
 		if !bytes.Equal(m.raw[i], raw[i]) {
 			return false
--- a/core/authenticator/operatortoken.go
+++ b/core/authenticator/operatortoken.go
@@ -10,20 +10,22 @@
 	"oleandertally/core/configurator"
 )
 
-// The gRPC metadata of an operator's command.
+// The keys of the gRPC metadata of an operator's command.
 const (
 	operatorName  = "operator-name"
 	operatorToken = "operator-token"
 )
 
-// OperatorToken sends the name and token of an operator with each gRPC call.
+// OperatorToken sends the name and token of an operator with each gRPC call. It implements
+// credentials.PerRPCCredentials.
 type OperatorToken struct {
 	name   string
 	token  string
 	secure bool
 }
 
-// NewOperatorToken returns the token that the operator's settings name.
+// NewOperatorToken reads the token from the file that the operator's settings name. If Insecure, there is no
+// token.
 func NewOperatorToken(settings configurator.OperatorSettings) (*OperatorToken, error) {
 	o := &OperatorToken{name: settings.Name, secure: !settings.Security.Insecure}
 	if !o.secure {
@@ -45,14 +47,14 @@
 	return map[string]string{operatorName: o.name, operatorToken: o.token}, nil
 }
 
-// RequireTransportSecurity keeps the token off connections without TLS.
+// RequireTransportSecurity reports whether calls need TLS, so that a token is never sent in clear text.
 func (o *OperatorToken) RequireTransportSecurity() bool { return o.secure }
 
-// CheckOperator returns the name of the operator whose token came with the call of ctx. When
-// Insecure, the name is taken as it is.
+// CheckOperator returns the name of the operator who made the call of ctx, or ErrUnauthorized unless the
+// call carries a token of that operator. If Insecure, the name is not verified.
 func (a *Authenticator) CheckOperator(ctx context.Context) (string, error) {
 	values, _ := metadata.FromIncomingContext(ctx)
-	name, token := single(values, operatorName), single(values, operatorToken)
+	name, token := singleValue(values, operatorName), singleValue(values, operatorToken)
 	if a.insecure {
 		return name, nil
 	}
@@ -62,7 +64,8 @@
 	return name, nil
 }
 
-func single(values metadata.MD, key string) string {
+// singleValue returns the value of key, or "" unless there is exactly one.
+func singleValue(values metadata.MD, key string) string {
 	if found := values.Get(key); len(found) == 1 {
 		return found[0]
 	}
--- a/core/authenticator/peer.go
+++ b/core/authenticator/peer.go
@@ -10,14 +10,14 @@
 	"oleandertally/core/specifier"
 )
 
-// Operator is the role of the operators' command line in a certificate.
+// Operator is the role of the command-line tool for operators in a certificate.
 const Operator specifier.Role = "Operator"
 
 const scheme = "oleandertally"
 
 var roles = []specifier.Role{specifier.Entry, specifier.Agent, specifier.Controller, Operator}
 
-// Peer is who a certificate names.
+// Peer is the role and name of a process, as its certificate states them.
 type Peer struct {
 	Role specifier.Role
 	Name string
@@ -26,13 +26,13 @@
 // String returns the peer as ROLE/NAME.
 func (p Peer) String() string { return string(p.Role) + "/" + p.Name }
 
-// URI returns the subject alternative name of p.
+// URI returns the subject alternative name of p for a certificate.
 func (p Peer) URI() *url.URL {
 	return &url.URL{Scheme: scheme, Host: string(p.Role), Path: "/" + p.Name}
 }
 
-// PeerFromCertificate returns the peer that certificate names. A certificate with no such name, or with two,
-// is refused.
+// PeerFromCertificate returns the peer that certificate names. The error is ErrWrongPeer unless the
+// certificate has exactly one such name.
 func PeerFromCertificate(certificate *x509.Certificate) (Peer, error) {
 	var found []Peer
 	for _, uri := range certificate.URIs {
@@ -57,7 +57,7 @@
 		return Peer{}, errors.Wrapf(ErrWrongPeer, "the certificate has a malformed name")
 	}
 	for _, role := range roles {
-		if strings.EqualFold(uri.Host, string(role)) { // tools write hosts in lower case
+		if strings.EqualFold(uri.Host, string(role)) { // some tools convert hosts to lower case
 			return Peer{role, name}, nil
 		}
 	}
--- a/core/authenticator/peers.go
+++ b/core/authenticator/peers.go
@@ -11,7 +11,7 @@
 	"oleandertally/core/specifier"
 )
 
-// PeerFromContext returns the peer on whose connection the call of ctx arrived.
+// PeerFromContext returns the peer whose connection carries the gRPC call of ctx.
 func PeerFromContext(ctx context.Context) (Peer, error) {
 	from, ok := peer.FromContext(ctx)
 	if !ok {
@@ -24,12 +24,12 @@
 	return PeerFromCertificate(info.State.PeerCertificates[0])
 }
 
-// CheckRole returns ErrWrongPeer unless the peer has one of the roles.
+// CheckRole returns ErrWrongPeer unless the peer of the call has one of the roles.
 func (a *Authenticator) CheckRole(ctx context.Context, accepted ...specifier.Role) error {
 	return a.check(ctx, func(found Peer) bool { return slices.Contains(accepted, found.Role) })
 }
 
-// CheckPeer returns ErrWrongPeer unless the peer is the one that its message says it is.
+// CheckPeer returns ErrWrongPeer unless the peer of the call is expected, which its message claims to be.
 func (a *Authenticator) CheckPeer(ctx context.Context, expected Peer) error {
 	return a.check(ctx, func(found Peer) bool { return found == expected })
 }
--- a/core/authenticator/teams.go
+++ b/core/authenticator/teams.go
@@ -6,7 +6,7 @@
 )
 
 // CheckTeam returns ErrUnauthorized unless the request carries a token of team as
-// "Authorization: Bearer TOKEN". It reads headers only.
+// "Authorization: Bearer TOKEN". It does not read the body.
 func (a *Authenticator) CheckTeam(request *http.Request, team string) error {
 	if a.insecure {
 		return nil
@@ -14,8 +14,8 @@
 	return a.teams.Check(team, bearerToken(request))
 }
 
-// CheckAnyTeam returns ErrUnauthorized unless the request carries a token of some team. It lets
-// an entry refuse a stranger before it reads the body, which names the team.
+// CheckAnyTeam returns ErrUnauthorized unless the request carries a token of any team. With it an entry
+// rejects an unknown caller before it reads the body, which names the team.
 func (a *Authenticator) CheckAnyTeam(request *http.Request) error {
 	if a.insecure {
 		return nil
--- a/core/authenticator/tokens.go
+++ b/core/authenticator/tokens.go
@@ -6,16 +6,16 @@
 	"oleandertally/core/configurator"
 )
 
-// maxToken bounds what is hashed for a request that may be hostile, in bytes.
+// maxToken is the longest accepted token in bytes. It limits the hashing work for a hostile request.
 const maxToken = 512
 
-// Tokens are the digests of the tokens of each name.
+// Tokens holds the digests of the accepted tokens of each team or operator.
 type Tokens struct {
-	digests map[string][]configurator.TokenDigest
-	owners  map[configurator.TokenDigest]string
+	digests map[string][]configurator.TokenDigest // by name
+	owners  map[configurator.TokenDigest]string   // name by digest
 }
 
-// NewTokens returns the tokens of settings.
+// NewTokens returns the Tokens that settings list.
 func NewTokens(settings []configurator.TokenSettings) Tokens {
 	t := Tokens{make(map[string][]configurator.TokenDigest), make(map[configurator.TokenDigest]string)}
 	for _, token := range settings {
@@ -27,8 +27,8 @@
 	return t
 }
 
-// Check returns ErrUnauthorized unless token belongs to name. The error and the time are the
-// same for an unknown name, so that names cannot be found out.
+// Check returns ErrUnauthorized unless token belongs to name. The error and the run time are the same for an
+// unknown name as for a wrong token, so that names cannot be probed.
 func (t Tokens) Check(name, token string) error {
 	if len(token) > maxToken {
 		return ErrUnauthorized
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// checkAny returns ErrUnauthorized unless token belongs to some name. The lookup is by digest,
-// whose timing tells nothing about a token that hashes to another one.
+// checkAny returns ErrUnauthorized unless token belongs to any name. The map lookup need not take constant
+// time: it uses the digest, and its timing reveals nothing about a token with another digest.
 func (t Tokens) checkAny(token string) error {
 	if token == "" || len(token) > maxToken {
 		return ErrUnauthorized
--- a/core/authenticator/tokens_test.go
+++ b/core/authenticator/tokens_test.go
@@ -29,10 +29,10 @@
 }
 
 func TestTokens(t *testing.T) {
-	// Guards against a caller that acts for another team.
+	// Guards against a caller that impersonates another team.
 	cases := []struct {
 		name, header, team string
-		known, accepted    bool // as some team, as this team
+		known, accepted    bool // whether CheckAnyTeam and CheckTeam accept the token
 	}{
 		{"first token", "Bearer old", "a", true, true},
 		{"second token", "bearer new", "a", true, true},
@@ -57,7 +57,8 @@
 }
 
 func TestUnusableTokens(t *testing.T) {
-	// Guards against settings with the digest of an empty token, which any request without one would match.
+	// Guards against settings with the digest of an empty token, which would admit every request without a
+	// token, and against tokens above the length limit.
 	long := strings.Repeat("x", maxToken+1)
 	tokens := NewTokens([]configurator.TokenSettings{{Name: "a", Digests: []configurator.TokenDigest{
 		configurator.NewTokenDigest(""), configurator.NewTokenDigest(long)}}})
@@ -94,7 +95,7 @@
 		must.Eq(t, "a", name)
 	})
 	t.Run("other name", func(t *testing.T) {
-		// Guards against a change that is recorded under another operator's name.
+		// Guards against an operator whose change is recorded under the name of another operator.
 		other := settings
 		other.Name = "b"
 		_, err := secured().CheckOperator(incoming(t, other))
@@ -118,7 +119,7 @@
 }
 
 func TestPeerNames(t *testing.T) {
-	// Guards against certificates whose name can be read in two ways.
+	// Guards against certificates with no name, several names or an ambiguous name.
 	site := newAuthority(t)
 	parse := func(t *testing.T, texts ...string) error {
 		var uris []*url.URL
@@ -140,7 +141,7 @@
 }
 
 func TestLimitBody(t *testing.T) {
-	// Guards against a body that is read before it is refused.
+	// Guards against an oversized body that is read before it is rejected.
 	read := 0
 	handler := LimitBody(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		data, err := io.ReadAll(r.Body)
