--- a/core/dialer/doc.go
+++ b/core/dialer/doc.go
@@ -1,2 +1,3 @@
-// Package dialer keeps one gRPC connection to each address that a process talks to.
+// Package dialer keeps one gRPC connection to each address that a process calls, and sets up gRPC
+// servers with matching limits.
 package dialer
--- a/core/dialer/pool.go
+++ b/core/dialer/pool.go
@@ -15,7 +15,8 @@
 	"oleandertally/core/encoder"
 )
 
-// Pool shares connections. Fields are set before use; it is safe for concurrent use.
+// Pool shares one connection for each address. Its fields must be set before use. It is safe for
+// concurrent use.
 type Pool struct {
 	Credentials credentials.TransportCredentials
 	MaxMessage  int // bytes; default encoder.MaxMessage
@@ -25,7 +26,7 @@
 	conns map[netip.AddrPort]*grpc.ClientConn
 }
 
-// Conn returns the connection to addr, which connects in the background.
+// Conn returns the connection to addr. The connection is established in the background.
 func (p *Pool) Conn(addr netip.AddrPort) (*grpc.ClientConn, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -51,12 +52,13 @@
 	options := []grpc.DialOption{
 		grpc.WithTransportCredentials(p.Credentials),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(bound), grpc.MaxCallSendMsgSize(bound)),
-		// The default of two minutes would keep a process away from a peer long after it came back.
+		// With gRPC's default maximum of two minutes, a process would stay disconnected long after its
+		// peer has recovered.
 		grpc.WithConnectParams(grpc.ConnectParams{
 			Backoff:           backoff.Config{BaseDelay: 50 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: 500 * time.Millisecond},
 			MinConnectTimeout: time.Second,
 		}),
-		// A silent partition shows as a broken stream after Time plus Timeout.
+		// Behind a partition without resets, streams fail after Time plus Timeout.
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: 10 * time.Second, Timeout: 2 * time.Second}),
 	}
 	for _, handler := range p.Stats {
--- a/core/dialer/serve.go
+++ b/core/dialer/serve.go
@@ -8,8 +8,9 @@
 	"google.golang.org/grpc"
 )
 
-// Serve returns a part that serves gRPC on listener until its context ends, and then breaks what is still
-// open. server.GracefulStop is the step that drains it before; it may come even before the part runs.
+// Serve returns a part of a supervisor.Group that serves gRPC on listener until its context ends, and then
+// closes all open connections. To drain them first, call server.GracefulStop in an earlier shutdown step;
+// that is safe even before the part has started.
 func Serve(server *grpc.Server, listener net.Listener) func(ctx context.Context) error {
 	return func(ctx context.Context) error {
 		stop := context.AfterFunc(ctx, server.Stop)
--- a/core/dialer/server.go
+++ b/core/dialer/server.go
@@ -10,7 +10,7 @@
 	"oleandertally/core/encoder"
 )
 
-// NewServer returns a gRPC server with the limits that Pool expects.
+// NewServer returns a gRPC server whose limits match those of Pool.
 func NewServer(credentials credentials.TransportCredentials, options ...grpc.ServerOption) *grpc.Server {
 	options = append(options,
 		grpc.Creds(credentials),
@@ -20,7 +20,8 @@
 	return NewGuardedServer(options...)
 }
 
-// NewGuardedServer returns a gRPC server whose credentials and bounds on messages are in options.
+// NewGuardedServer returns a gRPC server with the keepalive parameters of NewServer. The caller passes
+// credentials and message size limits in options.
 func NewGuardedServer(options ...grpc.ServerOption) *grpc.Server {
 	options = append(options,
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second, PermitWithoutStream: true}),
