--- a/core/launcher/arguments.go
+++ b/core/launcher/arguments.go
@@ -9,14 +9,14 @@
 	"oleandertally/core/configurator"
 )
 
-// Arguments are those of every program.
+// Arguments are the command-line arguments that all programs share.
 type Arguments struct {
-	Settings string // file
-	Name     string // of the process, when the file is that of a deployment
+	Settings string // path of the settings file
+	Name     string // name of the process; set if the file describes a deployment
 }
 
-// ParseArguments reads the arguments after the program's name. It writes the usage to out. More defines
-// flags of the program's own.
+// ParseArguments parses arguments, which exclude the program's name, and writes errors and usage to out.
+// The functions in more define the program's own flags.
 func ParseArguments(program string, arguments []string, out io.Writer, more ...func(*flag.FlagSet)) (Arguments, error) {
 	var parsed Arguments
 	flags := flag.NewFlagSet(program, flag.ContinueOnError)
@@ -36,8 +36,8 @@
 	return parsed, nil
 }
 
-// Read returns the settings of the process: the whole file, or what find returns from the file of a
-// deployment.
+// Read returns the settings of the process. Without Name, read reads them from the file; with Name, find
+// selects them in the settings of the deployment.
 func Read[S any](arguments Arguments, read func(path string) (S, error), find func(site *configurator.DeploymentSettings, name string) (S, bool)) (S, error) {
 	if arguments.Name == "" {
 		settings, err := read(arguments.Settings)
@@ -45,8 +45,8 @@
 	}
 	site, err := configurator.Read[configurator.DeploymentSettings](arguments.Settings)
 	if err != nil {
-		var none S
-		return none, errors.Mark(err, ErrSettings)
+		var zero S
+		return zero, errors.Mark(err, ErrSettings)
 	}
 	settings, ok := find(&site, arguments.Name)
 	if !ok {
--- a/core/launcher/doc.go
+++ b/core/launcher/doc.go
@@ -1,2 +1,3 @@
-// Package launcher runs one role as a program: it serves its health and metrics and stops it in order.
+// Package launcher runs one role as a program: it parses arguments, serves health and metrics, and shuts
+// the program down gracefully.
 package launcher
--- a/core/launcher/launcher.go
+++ b/core/launcher/launcher.go
@@ -14,10 +14,10 @@
 	"oleandertally/core/supervisor"
 )
 
-// headerTimeout bounds how long a connection for metrics may wait to send its request.
+// headerTimeout limits how long a client of the metrics server may take to send its request headers.
 const headerTimeout = 5 * time.Second
 
-// Launcher runs a program. Fields are set before Run.
+// Launcher runs a program. Its fields must be set before Run.
 type Launcher struct {
 	Process configurator.ProcessSettings
 	Program Program
@@ -27,7 +27,8 @@
 	Signals <-chan os.Signal
 }
 
-// Run returns nil after a shutdown that cut nothing off. ExitCode gives the exit code of what it returns.
+// Run runs the program until it has shut down, and returns nil after a complete shutdown. ExitCode
+// converts the error to an exit code.
 func (l *Launcher) Run(ctx context.Context) error {
 	metrics, err := net.Listen("tcp", l.Process.MetricsAddr.String())
 	if err != nil {
