--- a/core/timekeeper/clock.go
+++ b/core/timekeeper/clock.go
@@ -6,9 +6,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Boot returns the time since the host started, as a time after the Unix epoch. Unlike Go's monotonic clock it counts the time
-// during which the host was suspended: a lease must not outlast a suspension that its holder did not notice. It
-// never jumps with the time of day.
+// Boot returns the time since the host booted, as a time after the Unix epoch. Unlike Go's monotonic clock,
+// it includes the time during which the host was suspended, so a lease expires during a suspension that its
+// holder does not notice. Changes of the wall clock do not affect it.
 func Boot() time.Time {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
--- a/core/timekeeper/doc.go
+++ b/core/timekeeper/doc.go
@@ -1,2 +1,2 @@
-// Package timekeeper reads the clock of the host that goes on while the host is suspended.
+// Package timekeeper reads a clock of the host that keeps running while the host is suspended.
 package timekeeper
