--- a/core/configurator/deploymentcheck.go
+++ b/core/configurator/deploymentcheck.go
@@ -8,11 +8,11 @@
 // deploymentCheck checks the processes of a deployment together, and first fills in the settings
 // that they inherit from it. Inherited settings are checked once, at the place where the file has them.
 type deploymentCheck struct {
-	checker   checker
-	security  SecuritySettings
-	inherited struct{ used, teams, operators bool } // whether any process inherits Security, and which lists they need
-	used      listeners
-	names     map[string]string // path of the process that has each name
+	checker   checker                               // of the deployment
+	security  SecuritySettings                      // of the deployment
+	inherited struct{ used, teams, operators bool } // whether a process inherits Security, and needs which of its lists
+	used      listeners                             // of the processes checked so far
+	names     map[string]string                     // path of the process that has each name
 }
 
 func (d *deploymentCheck) controller(c checker, s *ControllerSettings, peers []PeerSettings) {
