--- a/core/configurator/deployment_test.go
+++ b/core/configurator/deployment_test.go
@@ -18,6 +18,8 @@
 `
 
 func TestDeployment(t *testing.T) {
+	// Guards against lost inherited settings, and against mistakes that show only when the processes of a
+	// deployment are compared.
 	cases := []struct{ name, old, new, expected string }{
 		{"duplicate name", "a-2", "e-1", `8: Agents[1].Name: "e-1" is already used by Entries[0]`},
 		{"clash between processes", "10.0.0.4:7203", "10.0.0.3:7201", "8: Agents[1].MetricsAddr: 10.0.0.3:7201 is already used by Agents[0].AgentAddr"},
@@ -54,6 +56,7 @@
 }
 
 func TestProfiles(t *testing.T) {
+	// Guards against mistakes in a profile file that are accepted, or reported without their place.
 	cases := []struct{ name, text, expected string }{
 		{"range", "Profiles:\n  - {Name: a, Service: s, Priority: 10}", "2: Profiles[0].Priority: 10, expected 0 to 9"},
 		{"written zero", "Profiles:\n  - {Name: a, Service: s, RetryBudget: 0}", "2: Profiles[0].RetryBudget: 0 means the default; leave the key out instead"},
--- a/core/configurator/reader_test.go
+++ b/core/configurator/reader_test.go
@@ -131,6 +131,7 @@
 }
 
 func TestOneMistake(t *testing.T) {
+	// Guards against mistakes in settings that are accepted, or reported with a wrong line or field.
 	cases := []struct{ name, old, new, expected string }{
 		{"missing address", "AgentAddr: 10.0.0.1:7201\n", "", `1: AgentAddr: missing, expected an IP address and a port, such as "10.0.0.1:7101"`},
 		{"port 0", "10.0.0.1:7201", "10.0.0.1:0", "5: AgentAddr: 10.0.0.1:0 has port 0, expected 1 to 65535"},
