--- a/core/authenticator/peers.go
+++ b/core/authenticator/peers.go
@@ -11,8 +11,8 @@
 	"oleandertally/core/specifier"
 )
 
-// PeerFrom returns the peer on whose connection the call of ctx arrived.
-func PeerFrom(ctx context.Context) (Peer, error) {
+// PeerFromContext returns the peer whose connection carries the gRPC call of ctx.
+func PeerFromContext(ctx context.Context) (Peer, error) {
 	from, ok := peer.FromContext(ctx)
 	if !ok {
 		return Peer{}, ErrNoCertificate
@@ -21,15 +21,15 @@
 	if !ok || len(info.State.PeerCertificates) == 0 {
 		return Peer{}, ErrNoCertificate
 	}
-	return PeerOf(info.State.PeerCertificates[0])
+	return PeerFromCertificate(info.State.PeerCertificates[0])
 }
 
-// CheckRole returns ErrWrongPeer unless the peer has one of the roles.
+// CheckRole returns ErrWrongPeer unless the peer of the call has one of the roles.
 func (a *Authenticator) CheckRole(ctx context.Context, accepted ...specifier.Role) error {
 	return a.check(ctx, func(found Peer) bool { return slices.Contains(accepted, found.Role) })
 }
 
-// CheckPeer returns ErrWrongPeer unless the peer is the one that its message says it is.
+// CheckPeer returns ErrWrongPeer unless the peer of the call is expected, which its message claims to be.
 func (a *Authenticator) CheckPeer(ctx context.Context, expected Peer) error {
 	return a.check(ctx, func(found Peer) bool { return found == expected })
 }
@@ -38,7 +38,7 @@
 	if a.insecure {
 		return nil
 	}
-	found, err := PeerFrom(ctx)
+	found, err := PeerFromContext(ctx)
 	if err != nil {
 		return err
 	}
