--- a/agent/leaseholder/announcement.go
+++ b/agent/leaseholder/announcement.go
@@ -4,20 +4,20 @@
 func (l *LeaseHolder) announced(event Announced) {
 	worker := event.Worker
 	if known := l.worker; known != nil {
-		older := worker.Born.Before(known.Born) || worker.Born.Before(l.startedAt)
-		if older || worker.ID == known.ID && worker.Born.Equal(known.Born) && event.Sequence <= l.sequence {
+		older := worker.StartedAt.Before(known.StartedAt) || worker.StartedAt.Before(l.startedAt)
+		if older || worker.ID == known.ID && worker.StartedAt.Equal(known.StartedAt) && event.Sequence <= l.sequence {
 			return
 		}
 	}
-	first := l.worker == nil || l.worker.ID != worker.ID || !l.worker.Born.Equal(worker.Born)
+	first := l.worker == nil || l.worker.ID != worker.ID || !l.worker.StartedAt.Equal(worker.StartedAt)
 	draining := l.worker != nil && l.worker.Draining
 	l.worker, l.sequence = &worker, event.Sequence
 	if first {
 		l.emit(LogEvent{Event: "WorkerAnnounced", Detail: worker.ID})
 		l.answeredAt = l.now
 	}
-	if !worker.Born.Equal(l.startedAt) {
-		l.workerRestarted(worker.Born)
+	if !worker.StartedAt.Equal(l.startedAt) {
+		l.workerRestarted(worker.StartedAt)
 	}
 	if first || draining != worker.Draining {
 		l.workerChanged = true
--- a/agent/leaseholder/leaseholder_test.go
+++ b/agent/leaseholder/leaseholder_test.go
@@ -24,7 +24,7 @@
 	f := &fixture{t: t, now: start, workerStart: start.Add(-time.Hour),
 		holder: &LeaseHolder{Name: "agent", Incarnation: 1, GrantSpan: 1200 * time.Millisecond, MaxLease: time.Second, StartedAt: start}}
 	f.step(Connected{})
-	f.step(Announced{Sequence: 1, Worker: specifier.LeasedWorker{ID: "w", Born: f.workerStart, Capacity: specifier.Resources{MilliCores: 1000}}})
+	f.step(Announced{Sequence: 1, Worker: specifier.LeasedWorker{ID: "w", StartedAt: f.workerStart, Capacity: specifier.Resources{MilliCores: 1000}}})
 	f.step(OrderReceived{specifier.LeaseOrder{Token: 1, Granted: f.holder.renewal}})
 	f.answerPolls(nil, nil)
 	return f
@@ -93,7 +93,7 @@
 	})
 	t.Run("while the worker drains", func(t *testing.T) { // guards against new work on a worker that is shutting down
 		f := newFixture(t)
-		f.step(Announced{Sequence: 2, Worker: specifier.LeasedWorker{ID: "w", Born: f.workerStart, Draining: true}})
+		f.step(Announced{Sequence: 2, Worker: specifier.LeasedWorker{ID: "w", StartedAt: f.workerStart, Draining: true}})
 		f.order(1)
 		f.mustRefuse(specifier.EndRefusedLate)
 	})
--- a/agent/leaseholder/polling.go
+++ b/agent/leaseholder/polling.go
@@ -76,10 +76,10 @@
 			delete(l.runs, key)
 		}
 	}
-	if l.worker != nil && !l.worker.Born.Equal(startedAt) {
+	if l.worker != nil && !l.worker.StartedAt.Equal(startedAt) {
 		// The new incarnation may be of another kind: it gets no work before it has announced itself.
 		next := *l.worker
-		next.Born, next.Draining = startedAt, true
+		next.StartedAt, next.Draining = startedAt, true
 		l.worker, l.sequence, l.workerChanged = &next, 0, true
 		l.renewIfConnected()
 	}
--- a/agent/leaseholder/session.go
+++ b/agent/leaseholder/session.go
@@ -63,7 +63,7 @@
 	for _, start := range order.Starts {
 		l.start(start)
 	}
-	if l.worker != nil && order.Noted > l.acknowledged && order.NotedBorn.Equal(l.worker.Born) {
+	if l.worker != nil && order.Noted > l.acknowledged && order.NotedBorn.Equal(l.worker.StartedAt) {
 		l.acknowledge(order.Noted)
 	}
 }
--- a/controller/dispatcher/fixture_test.go
+++ b/controller/dispatcher/fixture_test.go
@@ -55,7 +55,7 @@
 func (f *fixture) report(agent int, change func(*specifier.LeaseReport)) {
 	f.renewal++
 	report := specifier.LeaseReport{Agent: agentName(agent), Incarnation: 1, Renewal: f.renewal, Settled: true, Listed: true,
-		Worker: &specifier.LeasedWorker{ID: agentName(agent), Born: time.Unix(1, 0), Pool: "p", Capacity: specifier.Resources{MilliCores: 2000, Memory: 100}}}
+		Worker: &specifier.LeasedWorker{ID: agentName(agent), StartedAt: time.Unix(1, 0), Pool: "p", Capacity: specifier.Resources{MilliCores: 2000, Memory: 100}}}
 	if a := f.d.agents[agentName(agent)]; a != nil {
 		report.Token, report.Orders = f.d.fence(a), a.orderCount
 		for _, r := range a.sortedRuns() {
--- a/controller/dispatcher/report.go
+++ b/controller/dispatcher/report.go
@@ -90,7 +90,7 @@
 
 // updateWorker stores a worker's description of itself. A new incarnation of a worker has no ends and no health yet.
 func (d *Dispatcher) updateWorker(a *agent, worker *specifier.LeasedWorker) {
-	if a.worker == nil || a.worker.ID != worker.ID || !a.worker.Born.Equal(worker.Born) {
+	if a.worker == nil || a.worker.ID != worker.ID || !a.worker.StartedAt.Equal(worker.StartedAt) {
 		a.handledEnd, a.acknowledgedEnd, a.ends = 0, 0, nil
 		a.health = health{}
 		if a.worker != nil {
@@ -226,7 +226,7 @@
 		return
 	}
 	order := d.orderTo(a)
-	order.Noted, order.NotedBorn = a.acknowledgedEnd, a.worker.Born
+	order.Noted, order.NotedBorn = a.acknowledgedEnd, a.worker.StartedAt
 }
 
 // task returns the task of that name in a job that has not ended, or nil.
--- a/local/simulator/fakeagent_test.go
+++ b/local/simulator/fakeagent_test.go
@@ -112,7 +112,7 @@
 	}
 	worker := a.worker
 	worker.sequence++
-	a.step(leaseholder.Announced{Sequence: worker.sequence, Worker: specifier.LeasedWorker{ID: a.name + "-worker", Born: worker.born, Pool: poolName,
+	a.step(leaseholder.Announced{Sequence: worker.sequence, Worker: specifier.LeasedWorker{ID: a.name + "-worker", StartedAt: worker.born, Pool: poolName,
 		Capacity: specifier.Resources{MilliCores: workerCores, Memory: 1 << 20}}})
 }
 
