--- a/agent/leaseholder/session.go
+++ b/agent/leaseholder/session.go
@@ -63,8 +63,8 @@
 	for _, start := range order.Starts {
 		l.start(start)
 	}
-	if l.worker != nil && order.Noted > l.acknowledged && order.NotedBorn.Equal(l.worker.StartedAt) {
-		l.acknowledge(order.Noted)
+	if l.worker != nil && order.AcknowledgedEnd > l.acknowledged && order.AcknowledgedWorkerStart.Equal(l.worker.StartedAt) {
+		l.acknowledge(order.AcknowledgedEnd)
 	}
 }
 
--- a/controller/dispatcher/dispatcher_test.go
+++ b/controller/dispatcher/dispatcher_test.go
@@ -92,13 +92,13 @@
 	actions := f.d.Step(f.now, ReportReceived{Stream: 1, Report: specifier.LeaseReport{Agent: agentName(1), Incarnation: 1,
 		Ends: []specifier.RunEnd{{Number: 1, Key: key, How: specifier.EndDone}}}})
 	for _, order := range find[Order](actions) {
-		must.Eq(t, 0, order.Order.Noted)
+		must.Eq(t, 0, order.Order.AcknowledgedEnd)
 	}
 	proposed := find[Propose](actions)
 	must.SliceLen(t, 1, proposed)
 	acknowledged := uint64(0)
 	for _, order := range find[Order](f.d.Step(f.now, Applied(proposed[0]))) {
-		acknowledged = max(acknowledged, order.Order.Noted)
+		acknowledged = max(acknowledged, order.Order.AcknowledgedEnd)
 	}
 	must.Eq(t, 1, acknowledged)
 }
--- a/controller/dispatcher/end_test.go
+++ b/controller/dispatcher/end_test.go
@@ -12,7 +12,7 @@
 func acknowledged(actions []Action) uint64 {
 	highest := uint64(0)
 	for _, order := range find[Order](actions) {
-		highest = max(highest, order.Order.Noted)
+		highest = max(highest, order.Order.AcknowledgedEnd)
 	}
 	return highest
 }
--- a/controller/dispatcher/report.go
+++ b/controller/dispatcher/report.go
@@ -226,7 +226,7 @@
 		return
 	}
 	order := d.orderTo(a)
-	order.Noted, order.NotedBorn = a.acknowledgedEnd, a.worker.StartedAt
+	order.AcknowledgedEnd, order.AcknowledgedWorkerStart = a.acknowledgedEnd, a.worker.StartedAt
 }
 
 // task returns the task of that name in a job that has not ended, or nil.
--- a/core/encoder/leaseorder.go
+++ b/core/encoder/leaseorder.go
@@ -8,9 +8,9 @@
 
 // EncodeLeaseOrder returns the message of one order.
 func EncodeLeaseOrder(order specifier.LeaseOrder) *QueueOrder {
-	m := &QueueOrder{Token: order.Token, Granted: order.Granted, Orders: order.Orders, Noted: order.Noted}
-	if !order.NotedBorn.IsZero() {
-		m.NotedBorn = order.NotedBorn.UnixNano()
+	m := &QueueOrder{Token: order.Token, Granted: order.Granted, Orders: order.Orders, Noted: order.AcknowledgedEnd}
+	if !order.AcknowledgedWorkerStart.IsZero() {
+		m.NotedBorn = order.AcknowledgedWorkerStart.UnixNano()
 	}
 	for _, start := range order.Starts {
 		m.Starts = append(m.Starts, &QueueStart{Task: start.Key.Task, Run: start.Key.Run, Content: start.Content, Saved: start.Saved, Room: EncodeResources(start.Resources)})
@@ -23,9 +23,9 @@
 
 // DecodeLeaseOrder returns the order.
 func DecodeLeaseOrder(m *QueueOrder) specifier.LeaseOrder {
-	order := specifier.LeaseOrder{Token: m.Token, Granted: m.Granted, Orders: m.Orders, Noted: m.Noted}
+	order := specifier.LeaseOrder{Token: m.Token, Granted: m.Granted, Orders: m.Orders, AcknowledgedEnd: m.Noted}
 	if m.NotedBorn != 0 {
-		order.NotedBorn = time.Unix(0, m.NotedBorn)
+		order.AcknowledgedWorkerStart = time.Unix(0, m.NotedBorn)
 	}
 	for _, start := range m.Starts {
 		order.Starts = append(order.Starts, specifier.RunStart{Key: specifier.RunKey{Task: start.Task, Run: start.Run}, Content: start.Content,
--- a/core/encoder/queue_test.go
+++ b/core/encoder/queue_test.go
@@ -48,7 +48,7 @@
 	})
 	t.Run("order", func(t *testing.T) {
 		key := specifier.RunKey{Task: "t", Run: 2}
-		order := specifier.LeaseOrder{Token: 1, Granted: 2, Orders: 3, Noted: 4, NotedBorn: time.Unix(5, 0), Stops: []specifier.RunKey{key},
+		order := specifier.LeaseOrder{Token: 1, Granted: 2, Orders: 3, AcknowledgedEnd: 4, AcknowledgedWorkerStart: time.Unix(5, 0), Stops: []specifier.RunKey{key},
 			Starts: []specifier.RunStart{{Key: key, Content: "c", Saved: "s", Resources: specifier.Resources{Accelerators: 1}}}}
 		must.Eq(t, order, DecodeLeaseOrder(EncodeLeaseOrder(order)))
 	})
