--- a/agent/leaseholder/leaseholder_test.go
+++ b/agent/leaseholder/leaseholder_test.go
@@ -68,7 +68,7 @@
 		refused = append(refused, report.Report.Refused...)
 	}
 	must.SliceLen(f.t, 1, refused)
-	must.Eq(f.t, kind, refused[0].How)
+	must.Eq(f.t, kind, refused[0].Kind)
 }
 
 // Guards against a lease that outlasts the controller's grant: after the grant, the task may be started elsewhere.
--- a/controller/dispatcher/bench_test.go
+++ b/controller/dispatcher/bench_test.go
@@ -63,7 +63,7 @@
 					renewal = uint64(i)
 				}
 				take(step(ReportReceived{Stream: at.stream, Report: specifier.LeaseReport{Agent: agentName(int(at.stream)), Incarnation: 1, Renewal: renewal,
-					Ends: []specifier.RunEnd{{Number: numbers[at.stream], Key: at.key, How: specifier.EndDone}}}}))
+					Ends: []specifier.RunEnd{{Number: numbers[at.stream], Key: at.key, Kind: specifier.EndDone}}}}))
 				if i%workers == 0 {
 					for agent := 1; agent <= workers; agent++ {
 						d.agents[agentName(agent)].renewedAt = now
--- a/controller/dispatcher/commit.go
+++ b/controller/dispatcher/commit.go
@@ -91,7 +91,7 @@
 	record := d.Recorder.Job(end.Job)
 	t.recordingRuns = slices.DeleteFunc(t.recordingRuns, func(run uint64) bool { return run == end.Run })
 	switch {
-	case end.How == specifier.EndDone:
+	case end.Kind == specifier.EndDone:
 		if t.run != nil {
 			t.run.task = nil
 			d.stop(t.run)
--- a/controller/dispatcher/dispatcher_test.go
+++ b/controller/dispatcher/dispatcher_test.go
@@ -79,7 +79,7 @@
 	f.report(at, listed)
 	must.SliceEmpty(t, f.starts())
 	f.report(at, func(report *specifier.LeaseReport) {
-		report.Ends, report.Runs = []specifier.RunEnd{{Number: 1, Key: running, How: specifier.EndDone}}, nil
+		report.Ends, report.Runs = []specifier.RunEnd{{Number: 1, Key: running, Kind: specifier.EndDone}}, nil
 	})
 	must.Eq(t, specifier.JobCompleted, f.mustReply(specifier.QueueOK).State)
 }
@@ -90,7 +90,7 @@
 	f.submit("a", 1, false)
 	key := f.starts()[0].Key
 	actions := f.d.Step(f.now, ReportReceived{Stream: 1, Report: specifier.LeaseReport{Agent: agentName(1), Incarnation: 1,
-		Ends: []specifier.RunEnd{{Number: 1, Key: key, How: specifier.EndDone}}}})
+		Ends: []specifier.RunEnd{{Number: 1, Key: key, Kind: specifier.EndDone}}}})
 	for _, order := range find[Order](actions) {
 		must.Eq(t, 0, order.Order.AcknowledgedEnd)
 	}
@@ -138,12 +138,12 @@
 		}
 		number++
 		f.report(1, func(report *specifier.LeaseReport) {
-			report.Ends, report.Runs = []specifier.RunEnd{{Number: number, Key: starts[0].Key, How: specifier.EndFailed}}, nil
+			report.Ends, report.Runs = []specifier.RunEnd{{Number: number, Key: starts[0].Key, Kind: specifier.EndFailed}}, nil
 		})
 		for _, retry := range f.starts() {
 			number++
 			f.report(1, func(report *specifier.LeaseReport) {
-				report.Ends, report.Runs = []specifier.RunEnd{{Number: number, Key: retry.Key, How: specifier.EndFailed}}, nil
+				report.Ends, report.Runs = []specifier.RunEnd{{Number: number, Key: retry.Key, Kind: specifier.EndFailed}}, nil
 			})
 		}
 	}
@@ -162,7 +162,7 @@
 		ask(f)
 		must.SliceEmpty(t, find[Reply](f.actions))
 		f.report(1, func(report *specifier.LeaseReport) {
-			report.Ends, report.Runs = []specifier.RunEnd{{Number: 1, Key: key, How: specifier.EndDone}}, nil
+			report.Ends, report.Runs = []specifier.RunEnd{{Number: 1, Key: key, Kind: specifier.EndDone}}, nil
 		})
 		must.Eq(t, specifier.JobCompleted, f.mustReply(specifier.QueueOK).State)
 	})
--- a/controller/dispatcher/end.go
+++ b/controller/dispatcher/end.go
@@ -23,7 +23,7 @@
 	}
 	t := d.task(end.Key.Task)
 	if t == nil {
-		if d.Recorder.Job(jobOf(end.Key.Task)) == nil && end.How == specifier.EndDone {
+		if d.Recorder.Job(jobOf(end.Key.Task)) == nil && end.Kind == specifier.EndDone {
 			d.unclaimedEnds[end.Key.Task] = end
 			d.evictUnclaimedEnds()
 		}
@@ -31,11 +31,11 @@
 	}
 	// The end of a run that an earlier leader started counts as well while the task has no other run.
 	current := r != nil && t.run == r || t.run == nil && (t.state == taskReady || t.state == taskBlocked) && !d.recoveryUntil.IsZero()
-	counts := end.How == specifier.EndDone || end.How == specifier.EndFailed && (current || !t.job.Transient)
+	counts := end.Kind == specifier.EndDone || end.Kind == specifier.EndFailed && (current || !t.job.Transient)
 	if t.state == taskDone || !current && !counts {
 		return
 	}
-	if !current && t.run != nil && end.How == specifier.EndDone {
+	if !current && t.run != nil && end.Kind == specifier.EndDone {
 		// The task is done, so the run that replaced this one is stopped.
 		other := t.run
 		t.run, other.task = nil, nil
@@ -46,7 +46,7 @@
 	}
 	d.updateHealth(a, t, r, end)
 	if !counts {
-		d.emit(LogEvent{Event: "TaskInterrupted", Job: t.job.ID, Task: t.name, Run: end.Key.Run, Agent: a.name, Detail: end.How.String()})
+		d.emit(LogEvent{Event: "TaskInterrupted", Job: t.job.ID, Task: t.name, Run: end.Key.Run, Agent: a.name, Detail: end.Kind.String()})
 		if t.state == taskPlaced {
 			d.enqueue(t)
 		}
@@ -54,7 +54,7 @@
 	}
 	if t.job.Transient {
 		t.run = nil
-		if end.How == specifier.EndDone {
+		if end.Kind == specifier.EndDone {
 			d.taskCompleted(t)
 			return
 		}
@@ -75,14 +75,14 @@
 	if r != nil {
 		r.task = nil
 	}
-	recording := specifier.TaskEnd{Job: t.job.ID, Step: t.step, Index: t.index, Run: end.Key.Run, How: end.How}
+	recording := specifier.TaskEnd{Job: t.job.ID, Step: t.step, Index: t.index, Run: end.Key.Run, Kind: end.Kind}
 	if known := d.Recorder.Job(t.job.ID); known == nil || !known.ChangedBy(recording) {
 		if t.run == r && t.state == taskPlaced {
 			d.enqueue(t)
 		}
 		return
 	}
-	if current || end.How == specifier.EndDone {
+	if current || end.Kind == specifier.EndDone {
 		t.state, t.run = taskEnding, nil
 		t.recordingRuns = append(t.recordingRuns, end.Key.Run)
 	}
@@ -94,7 +94,7 @@
 // updateHealth updates the worker's health by the end of a run, and logs the end.
 func (d *Dispatcher) updateHealth(a *agent, t *task, r *run, end specifier.RunEnd) {
 	age := d.now.Sub(t.job.arrived)
-	switch end.How {
+	switch end.Kind {
 	case specifier.EndDone:
 		if r != nil {
 			a.health.succeeded(runTimeRatio(r.startedAt, d.now, t.job.Steps[t.step].Estimate))
@@ -143,11 +143,11 @@
 		t.avoid = a
 		a.noStartsUntil = d.now.Add(refusalPause)
 		d.wake(a.noStartsUntil, timer{})
-		if (end.How == specifier.EndRefusedSick || end.How == specifier.EndRefusedOther) && a.health.failed(t.job.ID, d.now) {
+		if (end.Kind == specifier.EndRefusedSick || end.Kind == specifier.EndRefusedOther) && a.health.failed(t.job.ID, d.now) {
 			d.emit(LogEvent{Event: "WorkerOut", Agent: a.name, Detail: "it refuses starts"})
 		}
 	}
-	d.loseRun(r, end.How)
+	d.loseRun(r, end.Kind)
 }
 
 // refusalPause is how long no task is started at an agent that refused a start.
--- a/controller/dispatcher/end_test.go
+++ b/controller/dispatcher/end_test.go
@@ -20,12 +20,12 @@
 // reportEnd reports one end from agent 1, and returns the actions before anything is recorded.
 func (f *fixture) reportEnd(number uint64, key specifier.RunKey, how specifier.EndKind) []Action {
 	return f.d.Step(f.now, ReportReceived{Stream: 1, Report: specifier.LeaseReport{Agent: agentName(1), Incarnation: 1,
-		Ends: []specifier.RunEnd{{Number: number, Key: key, How: how}}}})
+		Ends: []specifier.RunEnd{{Number: number, Key: key, Kind: how}}}})
 }
 
 func (f *fixture) recordEnd(key specifier.RunKey, how specifier.EndKind) []Action {
 	_, step, index, _ := splitTask(key.Task)
-	return f.d.Step(f.now, Applied{specifier.QueueCommand{Ends: []specifier.TaskEnd{{Job: jobOf(key.Task), Step: step, Index: index, Run: key.Run, How: how}}}})
+	return f.d.Step(f.now, Applied{specifier.QueueCommand{Ends: []specifier.TaskEnd{{Job: jobOf(key.Task), Step: step, Index: index, Run: key.Run, Kind: how}}}})
 }
 
 // Guards against a recorded job that never ends because the log rejected the end of its last task: a leader whose lease has lapsed
@@ -71,7 +71,7 @@
 		f.step(BecameLeader{Term: 2})
 		f.attach(1)
 		f.report(1, func(report *specifier.LeaseReport) {
-			report.Ends, report.Runs = []specifier.RunEnd{{Number: 1, Key: key, How: specifier.EndFailed}}, nil
+			report.Ends, report.Runs = []specifier.RunEnd{{Number: 1, Key: key, Kind: specifier.EndFailed}}, nil
 		})
 		must.SliceEmpty(t, find[Propose](f.actions))
 		must.Eq(t, 1, acknowledged(f.actions))
--- a/core/encoder/leasereport.go
+++ b/core/encoder/leasereport.go
@@ -38,7 +38,7 @@
 func encodeEnds(ends []specifier.RunEnd) []*QueueRunEnd {
 	var list []*QueueRunEnd
 	for _, end := range ends {
-		list = append(list, &QueueRunEnd{Number: end.Number, Task: end.Key.Task, Run: end.Key.Run, How: uint32(end.How), Saved: end.Saved})
+		list = append(list, &QueueRunEnd{Number: end.Number, Task: end.Key.Task, Run: end.Key.Run, How: uint32(end.Kind), Saved: end.Saved})
 	}
 	return list
 }
@@ -46,7 +46,7 @@
 func decodeEnds(list []*QueueRunEnd) []specifier.RunEnd {
 	var ends []specifier.RunEnd
 	for _, m := range list {
-		ends = append(ends, specifier.RunEnd{Number: m.Number, Key: specifier.RunKey{Task: m.Task, Run: m.Run}, How: specifier.EndKind(m.How), Saved: m.Saved})
+		ends = append(ends, specifier.RunEnd{Number: m.Number, Key: specifier.RunKey{Task: m.Task, Run: m.Run}, Kind: specifier.EndKind(m.How), Saved: m.Saved})
 	}
 	return ends
 }
--- a/core/encoder/queue_test.go
+++ b/core/encoder/queue_test.go
@@ -18,7 +18,7 @@
 	t.Run("command", func(t *testing.T) {
 		for _, command := range []specifier.QueueCommand{
 			{Accept: &queuedJob, Advance: time.Second}, {Cancel: "a"}, {Enroll: "x"}, {Dismiss: "x"},
-			{Ends: []specifier.TaskEnd{{Job: "a", Step: 1, Index: 2, Run: 3, How: specifier.EndFailed}}},
+			{Ends: []specifier.TaskEnd{{Job: "a", Step: 1, Index: 2, Run: 3, Kind: specifier.EndFailed}}},
 			{Manifest: &specifier.Manifest{Version: 3, Unguarded: []string{"p"}, Document: []byte("{}"), Queues: []specifier.Queue{
 				{Name: "q", Host: "h", Prefix: "/p/", Pool: "p", Priority: 1, MaxAttempts: 2, Stretch: 1.5, Target: time.Second}}}},
 		} {
@@ -43,7 +43,7 @@
 		report := specifier.LeaseReport{Agent: "a", Incarnation: 1, Renewal: 2, Orders: 3, Settled: true, Token: 4, Leaving: true, Listed: true,
 			Worker: &specifier.LeasedWorker{ID: "w", StartedAt: time.Unix(5, 0), Pool: "p", Capacity: specifier.Resources{MilliCores: 1}, Labels: []string{"l"}, Draining: true},
 			Runs:   []specifier.LeasedRun{{Key: key, Saved: "s", Resources: specifier.Resources{Memory: 1}, Starting: true}},
-			Ends:   []specifier.RunEnd{{Number: 1, Key: key, How: specifier.EndFailed, Saved: "s"}}, Refused: []specifier.RunEnd{{Key: key, How: specifier.EndRefusedLate}}}
+			Ends:   []specifier.RunEnd{{Number: 1, Key: key, Kind: specifier.EndFailed, Saved: "s"}}, Refused: []specifier.RunEnd{{Key: key, Kind: specifier.EndRefusedLate}}}
 		must.Eq(t, report, DecodeLeaseReport(EncodeLeaseReport(report)))
 	})
 	t.Run("order", func(t *testing.T) {
--- a/core/encoder/queuecommand.go
+++ b/core/encoder/queuecommand.go
@@ -11,7 +11,7 @@
 	m := &QueueCommand{Manifest: EncodeManifest(command.Manifest), Accept: EncodeQueuedJob(command.Accept), Cancel: command.Cancel,
 		Enroll: command.Enroll, Dismiss: command.Dismiss, Advance: int64(command.Advance)}
 	for _, end := range command.Ends {
-		m.Ends = append(m.Ends, &QueueEnd{Job: end.Job, Step: uint32(end.Step), Index: uint32(end.Index), Run: end.Run, How: uint32(end.How)})
+		m.Ends = append(m.Ends, &QueueEnd{Job: end.Job, Step: uint32(end.Step), Index: uint32(end.Index), Run: end.Run, How: uint32(end.Kind)})
 	}
 	return m
 }
@@ -26,7 +26,7 @@
 		Enroll: m.GetEnroll(), Dismiss: m.GetDismiss(),
 		Advance: min(max(time.Duration(m.GetAdvance()), 0), specifier.MaxAdvance)}
 	for _, end := range m.GetEnds() {
-		command.Ends = append(command.Ends, specifier.TaskEnd{Job: end.Job, Step: int(end.Step), Index: int(end.Index), Run: end.Run, How: specifier.EndKind(end.How)})
+		command.Ends = append(command.Ends, specifier.TaskEnd{Job: end.Job, Step: int(end.Step), Index: int(end.Index), Run: end.Run, Kind: specifier.EndKind(end.How)})
 	}
 	return command, nil
 }
--- a/core/specifier/runend.go
+++ b/core/specifier/runend.go
@@ -4,6 +4,6 @@
 type RunEnd struct {
 	Number uint64 // of the end in the worker's life, from 1; 0 when the worker did not list it
 	Key    RunKey
-	How    EndKind
+	Kind   EndKind
 	Saved  string // checkpoint
 }
--- a/core/specifier/taskend.go
+++ b/core/specifier/taskend.go
@@ -6,5 +6,5 @@
 	Step  int
 	Index int
 	Run   uint64 // which run of the task ended
-	How   EndKind
+	Kind  EndKind
 }
--- a/local/simulator/fakeworker_test.go
+++ b/local/simulator/fakeworker_test.go
@@ -160,7 +160,7 @@
 	f.gone(run)
 	f.highest[run.key.Task] = max(f.highest[run.key.Task], run.key.Run)
 	f.last++
-	f.ends = append(f.ends, specifier.RunEnd{Number: f.last, Key: run.key, How: how})
+	f.ends = append(f.ends, specifier.RunEnd{Number: f.last, Key: run.key, Kind: how})
 	f.endedIn[f.last] = f.lapses
 	f.world.tell("%s: run %v ended %v", f.name, run.key, how)
 	for _, wake := range f.waiting {
@@ -283,7 +283,7 @@
 		end := f.ends[0]
 		f.ends = f.ends[1:]
 		id, _, _ := strings.Cut(end.Key.Task, ".")
-		if end.How == specifier.EndDone && f.world.kept(id) && f.endedIn[end.Number] == f.lapses {
+		if end.Kind == specifier.EndDone && f.world.kept(id) && f.endedIn[end.Number] == f.lapses {
 			f.world.noted[end.Key.Task] = true
 		}
 	}
--- a/state/jobrecorder/recorder.go
+++ b/state/jobrecorder/recorder.go
@@ -83,7 +83,7 @@
 		return
 	}
 	record.State = specifier.JobRunning
-	switch end.How {
+	switch end.Kind {
 	case specifier.EndDone:
 		record.Done[end.Step][end.Index] = true
 		if record.remaining--; record.remaining == 0 {
--- a/state/jobrecorder/recorder_test.go
+++ b/state/jobrecorder/recorder_test.go
@@ -34,7 +34,7 @@
 }
 
 func recordRunEnd(recorder *Recorder, step, index int, run uint64, kind specifier.EndKind) {
-	recorder.Apply(specifier.QueueCommand{Ends: []specifier.TaskEnd{{Job: "a", Step: step, Index: index, Run: run, How: kind}}})
+	recorder.Apply(specifier.QueueCommand{Ends: []specifier.TaskEnd{{Job: "a", Step: step, Index: index, Run: run, Kind: kind}}})
 }
 
 func assertState(t *testing.T, recorder *Recorder, want specifier.QueueState) {
