--- a/agent/leaseholder/polling.go
+++ b/agent/leaseholder/polling.go
@@ -160,7 +160,7 @@
 	switch run.state {
 	case runRunning:
 		if result.EndsComplete && run.confirmedAt.Before(result.CalledAt) {
-			l.drop(run, specifier.EndLapsed)
+			l.drop(run, specifier.EndLeaseExpired)
 		}
 	case runUnanswered:
 		if !run.stoppedAt.IsZero() && run.stoppedAt.Before(result.CalledAt) || result.Clock > run.leaseEnd {
@@ -205,7 +205,7 @@
 	l.emit(LogEvent{Event: "LeasesEnded", Age: l.now.Sub(l.answeredAt), Count: len(l.runs)})
 	for _, run := range l.sorted() {
 		if run.state != runStarting {
-			l.drop(run, specifier.EndLapsed)
+			l.drop(run, specifier.EndLeaseExpired)
 		}
 	}
 }
--- a/agent/leaseholder/runs.go
+++ b/agent/leaseholder/runs.go
@@ -24,7 +24,7 @@
 	}
 	if !l.now.Before(l.answeredAt.Add(workerTimeout)) {
 		l.emit(LogEvent{Event: "StartRefused", Task: start.Key.Task, Run: start.Key.Run, Detail: "the worker does not answer", Age: l.now.Sub(l.answeredAt)})
-		l.refuse(start.Key, specifier.EndRefusedSick)
+		l.refuse(start.Key, specifier.EndRefusedUnhealthy)
 		return
 	}
 	leaseEnd := l.maxLeaseEnd()
--- a/controller/dispatcher/end.go
+++ b/controller/dispatcher/end.go
@@ -143,7 +143,7 @@
 		t.avoid = a
 		a.noStartsUntil = d.now.Add(refusalPause)
 		d.wake(a.noStartsUntil, timer{})
-		if (end.Kind == specifier.EndRefusedSick || end.Kind == specifier.EndRefusedOther) && a.health.failed(t.job.ID, d.now) {
+		if (end.Kind == specifier.EndRefusedUnhealthy || end.Kind == specifier.EndRefusedOther) && a.health.failed(t.job.ID, d.now) {
 			d.emit(LogEvent{Event: "WorkerOut", Agent: a.name, Detail: "it refuses starts"})
 		}
 	}
--- a/controller/dispatcher/report.go
+++ b/controller/dispatcher/report.go
@@ -130,7 +130,7 @@
 	}
 	d.emit(LogEvent{Event: "AgentLost", Agent: a.name, Age: d.now.Sub(a.renewedAt), Count: len(a.runs)})
 	for _, r := range a.sortedRuns() {
-		d.loseRun(r, specifier.EndLapsed)
+		d.loseRun(r, specifier.EndLeaseExpired)
 	}
 	d.removeAgent(a)
 	delete(d.streams, a.stream)
@@ -159,7 +159,7 @@
 	}
 	for _, r := range a.sortedRuns() {
 		if a.settled && !listed[r.key] && r.order <= seen {
-			d.loseRun(r, specifier.EndLapsed)
+			d.loseRun(r, specifier.EndLeaseExpired)
 		}
 	}
 }
--- a/core/specifier/endkind.go
+++ b/core/specifier/endkind.go
@@ -8,14 +8,14 @@
 	EndDone EndKind = iota
 	EndFailed
 	EndStopped
-	EndLapsed // its lease expired
-	EndBroken // another member of its group ended
-	EndAlone  // the other members of its group did not come
+	EndLeaseExpired     // its lease expired
+	EndGroupMemberEnded // another member of its group ended
+	EndGroupIncomplete  // the other members of its group did not come
 	EndRefusedFence
-	EndRefusedOld
+	EndRefusedStaleRun
 	EndRefusedLate
-	EndRefusedRoom
-	EndRefusedSick // the worker says that it is not well, and did nothing
+	EndRefusedResources
+	EndRefusedUnhealthy // the worker says that it is not well, and did nothing
 	EndRefusedOther
 	EndUnanswered // the start had no answer, and can no longer happen
 )
--- a/local/simulator/fakeworker_test.go
+++ b/local/simulator/fakeworker_test.go
@@ -146,7 +146,7 @@
 		if f.life == life && f.up && f.clock() >= f.until {
 			f.lapses++
 			for _, run := range f.runs {
-				f.end(run, specifier.EndLapsed)
+				f.end(run, specifier.EndLeaseExpired)
 			}
 		}
 	})
@@ -187,7 +187,7 @@
 		f.extend(call.LeaseEnd)
 		if f.runs[key] == nil {
 			if key.Run <= f.highest[key.Task] {
-				refuse(specifier.EndRefusedOld)
+				refuse(specifier.EndRefusedStaleRun)
 				return
 			}
 			f.begun(call)
