--- a/agent/leaseholder/polling.go
+++ b/agent/leaseholder/polling.go
@@ -130,7 +130,7 @@
 			l.runs[each.Key] = run
 			l.emit(LogEvent{Event: "RunFound", Task: each.Key.Task, Run: each.Key.Run})
 		}
-		run.Saved = each.Saved
+		run.Checkpoint = each.Checkpoint
 		if run.state != runRunning {
 			run.state, run.confirmedAt = runRunning, l.now
 			if run.stopping && run.stopRetryAt.IsZero() {
--- a/agent/leaseholder/runs.go
+++ b/agent/leaseholder/runs.go
@@ -29,7 +29,7 @@
 	}
 	leaseEnd := l.maxLeaseEnd()
 	l.leaseEnd = max(l.leaseEnd, leaseEnd)
-	l.runs[start.Key] = &trackedRun{LeasedRun: specifier.LeasedRun{Key: start.Key, Resources: start.Resources, Saved: start.Saved}, leaseEnd: leaseEnd}
+	l.runs[start.Key] = &trackedRun{LeasedRun: specifier.LeasedRun{Key: start.Key, Resources: start.Resources, Checkpoint: start.Checkpoint}, leaseEnd: leaseEnd}
 	l.emit(Start{Start: start, Token: l.workerToken(), LeaseEnd: leaseEnd, WorkerID: l.worker.ID})
 }
 
--- a/controller/dispatcher/end.go
+++ b/controller/dispatcher/end.go
@@ -41,8 +41,8 @@
 		t.run, other.task = nil, nil
 		d.stop(other)
 	}
-	if end.Saved != "" {
-		t.checkpoint = end.Saved
+	if end.Checkpoint != "" {
+		t.checkpoint = end.Checkpoint
 	}
 	d.updateHealth(a, t, r, end)
 	if !counts {
--- a/controller/dispatcher/placement.go
+++ b/controller/dispatcher/placement.go
@@ -125,7 +125,7 @@
 	r := &run{key: specifier.RunKey{Task: t.name, Run: d.term*runTermFactor + t.startCount}, agent: a, resources: t.job.Steps[t.step].Resources, task: t, startedAt: d.now}
 	order := d.countedOrder(a)
 	r.order = a.orderCount
-	order.Starts = append(order.Starts, specifier.RunStart{Key: r.key, Content: t.job.Content, Saved: t.checkpoint, Resources: r.resources})
+	order.Starts = append(order.Starts, specifier.RunStart{Key: r.key, Content: t.job.Content, Checkpoint: t.checkpoint, Resources: r.resources})
 	a.add(r)
 	t.state, t.run = taskPlaced, r
 	t.job.started = true
--- a/controller/dispatcher/report.go
+++ b/controller/dispatcher/report.go
@@ -150,8 +150,8 @@
 	for _, each := range report.Runs {
 		listed[each.Key] = true
 		if known := a.runs[each.Key]; known != nil {
-			if known.task != nil && each.Saved != "" {
-				known.task.checkpoint = each.Saved
+			if known.task != nil && each.Checkpoint != "" {
+				known.task.checkpoint = each.Checkpoint
 			}
 			continue
 		}
--- a/core/encoder/leaseorder.go
+++ b/core/encoder/leaseorder.go
@@ -13,7 +13,7 @@
 		m.NotedBorn = order.AcknowledgedWorkerStart.UnixNano()
 	}
 	for _, start := range order.Starts {
-		m.Starts = append(m.Starts, &QueueStart{Task: start.Key.Task, Run: start.Key.Run, Content: start.Content, Saved: start.Saved, Room: EncodeResources(start.Resources)})
+		m.Starts = append(m.Starts, &QueueStart{Task: start.Key.Task, Run: start.Key.Run, Content: start.Content, Saved: start.Checkpoint, Room: EncodeResources(start.Resources)})
 	}
 	for _, stop := range order.Stops {
 		m.Stops = append(m.Stops, &QueueStop{Task: stop.Task, Run: stop.Run})
@@ -29,7 +29,7 @@
 	}
 	for _, start := range m.Starts {
 		order.Starts = append(order.Starts, specifier.RunStart{Key: specifier.RunKey{Task: start.Task, Run: start.Run}, Content: start.Content,
-			Saved: start.Saved, Resources: DecodeResources(start.Room)})
+			Checkpoint: start.Saved, Resources: DecodeResources(start.Room)})
 	}
 	for _, stop := range m.Stops {
 		order.Stops = append(order.Stops, specifier.RunKey{Task: stop.Task, Run: stop.Run})
--- a/core/encoder/leasereport.go
+++ b/core/encoder/leasereport.go
@@ -15,7 +15,7 @@
 			Labels: worker.Labels, Draining: worker.Draining}
 	}
 	for _, run := range report.Runs {
-		m.Runs = append(m.Runs, &QueueRun{Task: run.Key.Task, Run: run.Key.Run, Saved: run.Saved, Room: EncodeResources(run.Resources), Starting: run.Starting})
+		m.Runs = append(m.Runs, &QueueRun{Task: run.Key.Task, Run: run.Key.Run, Saved: run.Checkpoint, Room: EncodeResources(run.Resources), Starting: run.Starting})
 	}
 	return m
 }
@@ -29,7 +29,7 @@
 			Capacity: DecodeResources(worker.Capacity), Labels: worker.Labels, Draining: worker.Draining}
 	}
 	for _, run := range m.Runs {
-		report.Runs = append(report.Runs, specifier.LeasedRun{Key: specifier.RunKey{Task: run.Task, Run: run.Run}, Saved: run.Saved,
+		report.Runs = append(report.Runs, specifier.LeasedRun{Key: specifier.RunKey{Task: run.Task, Run: run.Run}, Checkpoint: run.Saved,
 			Resources: DecodeResources(run.Room), Starting: run.Starting})
 	}
 	return report
@@ -38,7 +38,7 @@
 func encodeEnds(ends []specifier.RunEnd) []*QueueRunEnd {
 	var list []*QueueRunEnd
 	for _, end := range ends {
-		list = append(list, &QueueRunEnd{Number: end.Number, Task: end.Key.Task, Run: end.Key.Run, How: uint32(end.Kind), Saved: end.Saved})
+		list = append(list, &QueueRunEnd{Number: end.Number, Task: end.Key.Task, Run: end.Key.Run, How: uint32(end.Kind), Saved: end.Checkpoint})
 	}
 	return list
 }
@@ -46,7 +46,7 @@
 func decodeEnds(list []*QueueRunEnd) []specifier.RunEnd {
 	var ends []specifier.RunEnd
 	for _, m := range list {
-		ends = append(ends, specifier.RunEnd{Number: m.Number, Key: specifier.RunKey{Task: m.Task, Run: m.Run}, Kind: specifier.EndKind(m.How), Saved: m.Saved})
+		ends = append(ends, specifier.RunEnd{Number: m.Number, Key: specifier.RunKey{Task: m.Task, Run: m.Run}, Kind: specifier.EndKind(m.How), Checkpoint: m.Saved})
 	}
 	return ends
 }
--- a/core/specifier/runstart.go
+++ b/core/specifier/runstart.go
@@ -2,8 +2,8 @@
 
 // RunStart tells an agent to start a run.
 type RunStart struct {
-	Key       RunKey
-	Content   string
-	Saved     string // checkpoint to resume from; empty for none
-	Resources Resources
+	Key        RunKey
+	Content    string
+	Checkpoint string // checkpoint to resume from; empty for none
+	Resources  Resources
 }
