--- a/agent/leaseholder/session.go
+++ b/agent/leaseholder/session.go
@@ -20,7 +20,7 @@
 	l.renewals[l.renewal] = l.now
 	delete(l.renewals, l.renewal-maxPendingRenewals)
 	l.renewAt = l.now.Add(renewInterval)
-	report := specifier.LeaseReport{Renewal: l.renewal, Listed: true}
+	report := specifier.LeaseReport{Renewal: l.renewal, RunsComplete: true}
 	for _, run := range l.sorted() {
 		listed := run.LeasedRun
 		listed.Starting = run.state != runRunning
@@ -36,8 +36,8 @@
 		return
 	}
 	report.Agent, report.Incarnation, report.Orders, report.Leaving = l.Name, l.Incarnation, l.orders, l.leaving
-	report.Settled, report.Token = l.settled(), l.token
-	if l.workerChanged || report.Listed {
+	report.AllRunsKnown, report.Token = l.settled(), l.token
+	if l.workerChanged || report.RunsComplete {
 		report.Worker = l.worker
 		l.workerChanged = false
 	}
--- a/controller/dispatcher/bench_test.go
+++ b/controller/dispatcher/bench_test.go
@@ -35,7 +35,7 @@
 			}
 			for agent := 1; agent <= workers; agent++ {
 				for range 2 {
-					report := specifier.LeaseReport{Agent: agentName(agent), Incarnation: 1, Renewal: 1, Settled: true, Listed: true,
+					report := specifier.LeaseReport{Agent: agentName(agent), Incarnation: 1, Renewal: 1, AllRunsKnown: true, RunsComplete: true,
 						Worker: &specifier.LeasedWorker{ID: agentName(agent), StartedAt: time.Unix(1, 0), Pool: "p", Capacity: specifier.Resources{MilliCores: 16000, Memory: 1 << 15}}}
 					if a := d.agents[agentName(agent)]; a != nil {
 						report.Token = d.fence(a)
--- a/controller/dispatcher/fixture_test.go
+++ b/controller/dispatcher/fixture_test.go
@@ -54,7 +54,7 @@
 // report sends a report of an agent with its worker and all its runs.
 func (f *fixture) report(agent int, change func(*specifier.LeaseReport)) {
 	f.renewal++
-	report := specifier.LeaseReport{Agent: agentName(agent), Incarnation: 1, Renewal: f.renewal, Settled: true, Listed: true,
+	report := specifier.LeaseReport{Agent: agentName(agent), Incarnation: 1, Renewal: f.renewal, AllRunsKnown: true, RunsComplete: true,
 		Worker: &specifier.LeasedWorker{ID: agentName(agent), StartedAt: time.Unix(1, 0), Pool: "p", Capacity: specifier.Resources{MilliCores: 2000, Memory: 100}}}
 	if a := f.d.agents[agentName(agent)]; a != nil {
 		report.Token, report.Orders = f.d.fence(a), a.orderCount
--- a/controller/dispatcher/report.go
+++ b/controller/dispatcher/report.go
@@ -17,7 +17,7 @@
 	if a == nil {
 		return
 	}
-	a.settled, a.leaving = a.settled || report.Settled && report.Listed && report.Token == d.fence(a), report.Leaving
+	a.settled, a.leaving = a.settled || report.AllRunsKnown && report.RunsComplete && report.Token == d.fence(a), report.Leaving
 	if report.Worker != nil {
 		d.updateWorker(a, report.Worker)
 	}
@@ -25,7 +25,7 @@
 		a.renewedAt, a.grantUntil = d.now, d.now.Add(d.Settings.GrantSpan)
 		d.orderTo(a).Granted = report.Renewal
 	}
-	if report.Listed || a.listed {
+	if report.RunsComplete || a.listed {
 		// Before the first list of a term, a report may lack earlier ends, which acknowledging its ends would skip.
 		for _, end := range report.Ends {
 			d.handleEnd(a, end)
@@ -34,7 +34,7 @@
 	for _, end := range report.Refused {
 		d.startRefused(a, end)
 	}
-	if report.Listed {
+	if report.RunsComplete {
 		d.reconcileRuns(a, report)
 	}
 	d.enroll(a)
--- a/core/encoder/queue_test.go
+++ b/core/encoder/queue_test.go
@@ -40,7 +40,7 @@
 	})
 	t.Run("report", func(t *testing.T) {
 		key := specifier.RunKey{Task: "t", Run: 2}
-		report := specifier.LeaseReport{Agent: "a", Incarnation: 1, Renewal: 2, Orders: 3, Settled: true, Token: 4, Leaving: true, Listed: true,
+		report := specifier.LeaseReport{Agent: "a", Incarnation: 1, Renewal: 2, Orders: 3, AllRunsKnown: true, Token: 4, Leaving: true, RunsComplete: true,
 			Worker: &specifier.LeasedWorker{ID: "w", StartedAt: time.Unix(5, 0), Pool: "p", Capacity: specifier.Resources{MilliCores: 1}, Labels: []string{"l"}, Draining: true},
 			Runs:   []specifier.LeasedRun{{Key: key, Checkpoint: "s", Resources: specifier.Resources{Memory: 1}, Starting: true}},
 			Ends:   []specifier.RunEnd{{Number: 1, Key: key, Kind: specifier.EndFailed, Checkpoint: "s"}}, Refused: []specifier.RunEnd{{Key: key, Kind: specifier.EndRefusedLate}}}
