--- a/controller/sequencer/sequencer_test.go
+++ b/controller/sequencer/sequencer_test.go
@@ -162,7 +162,7 @@
 func TestUpdatesCarryChanges(t *testing.T) {
 	f := newFixture(t)
 	f.join(1, member(specifier.Entry, "entry"))
-	must.True(t, f.last(1).Whole)
+	must.True(t, f.last(1).MembersComplete)
 	for i := range 20 {
 		f.join(sequencer.Stream(10+i), member(specifier.Agent, fmt.Sprintf("worker-%02d", i)))
 		must.Len(t, 1, f.last(1).Members)
--- a/controller/sequencer/sessions.go
+++ b/controller/sequencer/sessions.go
@@ -102,7 +102,7 @@
 			continue
 		}
 		update := s.unsentUpdate(sess)
-		if update.Configuration != nil || update.Whole || len(update.Members) > 0 {
+		if update.Configuration != nil || update.MembersComplete || len(update.Members) > 0 {
 			s.actions = append(s.actions, Push{Stream: stream, Update: update})
 		}
 	}
@@ -126,7 +126,7 @@
 			update.Members = []specifier.Member{own}
 		}
 	case sess.version == 0 || sess.version < s.changesSince:
-		update.Whole = true
+		update.MembersComplete = true
 		update.Members = s.Registrar.Members()
 	default:
 		for _, name := range s.changed(sess.version) {
--- a/core/registrant/roster.go
+++ b/core/registrant/roster.go
@@ -15,13 +15,13 @@
 
 // merge applies an update and returns every member, or nil when nothing changed.
 func (r *roster) merge(update specifier.Update) []specifier.Member {
-	if r.members == nil || update.Whole {
+	if r.members == nil || update.MembersComplete {
 		r.members = make(map[string]specifier.Member)
 	}
 	for _, member := range update.Members {
 		r.members[member.Name] = member
 	}
-	changed := update.Whole || len(update.Members) > 0 || update.MemberVersion != r.version
+	changed := update.MembersComplete || len(update.Members) > 0 || update.MemberVersion != r.version
 	r.version = update.MemberVersion
 	if !changed {
 		return nil
--- a/local/benchmarker/wire_test.go
+++ b/local/benchmarker/wire_test.go
@@ -18,7 +18,7 @@
 // BenchmarkUpdateWhole reports the bytes of the whole membership, which an entry gets when it joins.
 func BenchmarkUpdateWhole(b *testing.B) {
 	each(b, []int{11, 110, 940}, func(b *testing.B, workers int) {
-		update := specifier.Update{Lease: 3 * time.Second, MemberVersion: 1, Whole: true, Members: newMembers(workers)}
+		update := specifier.Update{Lease: 3 * time.Second, MemberVersion: 1, MembersComplete: true, Members: newMembers(workers)}
 		var size int
 		for b.Loop() {
 			size = proto.Size(encoder.EncodeUpdate(update)) + frame
