--- a/agent/leaserunner/runner.go
+++ b/agent/leaserunner/runner.go
@@ -60,12 +60,12 @@
 	}
 	r.mailbox = looper.NewMailbox[event](mailboxSize)
 	r.locator = &locator.Locator[*encoder.QueueOrder, *encoder.QueueReport]{
-		Seeds: r.Seeds, Credentials: r.Credentials, Silence: streamTimeout,
+		Seeds: r.Seeds, Credentials: r.Credentials, IdleTimeout: streamTimeout,
 		Open: func(ctx context.Context, conn *grpc.ClientConn) (locator.Stream[*encoder.QueueOrder, *encoder.QueueReport], error) {
 			return encoder.NewQueueKeeperClient(conn).Attend(ctx)
 		},
 		Welcome: (*encoder.QueueOrder).GetWelcome,
-		Linked: func(ctx context.Context, controller netip.AddrPort, outbox *looper.Outbox[*encoder.QueueReport]) error {
+		Connected: func(ctx context.Context, controller netip.AddrPort, outbox *looper.Outbox[*encoder.QueueReport]) error {
 			r.Log.Info().Str("Event", "LeaderFound").Stringer("Controller", controller).Send()
 			return r.mailbox.Send(ctx, event{outbox: outbox})
 		},
@@ -75,7 +75,7 @@
 			}
 			return r.mailbox.Send(ctx, event{control: leaseholder.OrderReceived{Order: encoder.DecodeLeaseOrder(message)}})
 		},
-		Unlinked: func(ctx context.Context, cause error) error {
+		Disconnected: func(ctx context.Context, cause error) error {
 			r.Log.Warn().Str("Event", "LeaderLost").AnErr("Error", cause).Send()
 			return r.mailbox.Send(ctx, event{disconnected: true})
 		},
--- a/core/locator/locator.go
+++ b/core/locator/locator.go
@@ -36,15 +36,15 @@
 // Locator keeps a stream to the leading controller. Exported fields are set before Run. Linked, Received and Unlinked are called
 // by Run, one at a time.
 type Locator[In, Out any] struct {
-	Seeds       []netip.AddrPort
-	Credentials credentials.TransportCredentials
-	Silence     time.Duration // without a message for this long a stream counts as broken
-	Open        func(ctx context.Context, conn *grpc.ClientConn) (Stream[In, Out], error)
-	Welcome     func(In) *encoder.QueueWelcome // nil for a message without one
-	Merge       func([]Out) []Out              // makes fewer messages of those that wait; nil for none
-	Linked      func(ctx context.Context, controller netip.AddrPort, box *looper.Outbox[Out]) error
-	Received    func(ctx context.Context, message In) error
-	Unlinked    func(ctx context.Context, cause error) error
+	Seeds        []netip.AddrPort
+	Credentials  credentials.TransportCredentials
+	IdleTimeout  time.Duration // without a message for this long a stream counts as broken
+	Open         func(ctx context.Context, conn *grpc.ClientConn) (Stream[In, Out], error)
+	Welcome      func(In) *encoder.QueueWelcome // nil for a message without one
+	Merge        func([]Out) []Out              // makes fewer messages of those that wait; nil for none
+	Connected    func(ctx context.Context, controller netip.AddrPort, box *looper.Outbox[Out]) error
+	Received     func(ctx context.Context, message In) error
+	Disconnected func(ctx context.Context, cause error) error
 
 	mutex sync.Mutex
 	book  book
@@ -86,7 +86,7 @@
 }
 
 // Known returns the leader, or the zero address while none is linked, and the controllers that one of them told last.
-func (l *Locator[In, Out]) Known() (leader netip.AddrPort, controllers []netip.AddrPort) {
+func (l *Locator[In, Out]) KnownControllers() (leader netip.AddrPort, controllers []netip.AddrPort) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.book.linked, l.book.known
@@ -136,7 +136,7 @@
 	l.setLinked(addr)
 	defer l.setLinked(netip.AddrPort{})
 	box := looper.NewOutbox[Out]()
-	if err := l.Linked(ctx, addr, box); err != nil {
+	if err := l.Connected(ctx, addr, box); err != nil {
 		return err
 	}
 	group.Go(func() error { return l.send(ctx, stream, box) })
@@ -146,7 +146,7 @@
 		return err
 	})
 	err = group.Wait()
-	return errors.CombineErrors(l.Unlinked(context.WithoutCancel(ctx), err), err)
+	return errors.CombineErrors(l.Disconnected(context.WithoutCancel(ctx), err), err)
 }
 
 // await returns nil once the controller leads. At a follower it waits for news of a leader.
@@ -162,7 +162,7 @@
 		}
 		l.learn(m, addr)
 		if m.Leading {
-			watchdog.Reset(l.Silence)
+			watchdog.Reset(l.IdleTimeout)
 			return nil
 		}
 		if l.hasLeader() {
@@ -195,7 +195,7 @@
 		if err != nil {
 			return err
 		}
-		watchdog.Reset(l.Silence)
+		watchdog.Reset(l.IdleTimeout)
 		if m := l.Welcome(message); m != nil {
 			l.learn(m, addr)
 			if !m.Leading {
--- a/entry/requester/requester.go
+++ b/entry/requester/requester.go
@@ -36,20 +36,20 @@
 func (r *Requester) Open() {
 	r.mailbox = looper.NewMailbox[event](mailboxSize)
 	r.locator = &locator.Locator[*encoder.QueueReplies, *encoder.QueueCalls]{
-		Seeds: r.Seeds, Credentials: r.Credentials, Silence: silenceTimeout,
+		Seeds: r.Seeds, Credentials: r.Credentials, IdleTimeout: silenceTimeout,
 		Open: func(ctx context.Context, conn *grpc.ClientConn) (locator.Stream[*encoder.QueueReplies, *encoder.QueueCalls], error) {
 			return encoder.NewQueueKeeperClient(conn).Call(ctx)
 		},
 		Welcome: (*encoder.QueueReplies).GetWelcome,
 		Merge:   merge,
-		Linked: func(ctx context.Context, controller netip.AddrPort, outbox *looper.Outbox[*encoder.QueueCalls]) error {
+		Connected: func(ctx context.Context, controller netip.AddrPort, outbox *looper.Outbox[*encoder.QueueCalls]) error {
 			r.LeaderChanged(controller, nil)
 			return r.mailbox.Send(ctx, connected{outbox})
 		},
 		Received: func(ctx context.Context, message *encoder.QueueReplies) error {
 			return r.mailbox.Send(ctx, repliesReceived{message})
 		},
-		Unlinked: func(ctx context.Context, cause error) error {
+		Disconnected: func(ctx context.Context, cause error) error {
 			r.LeaderChanged(netip.AddrPort{}, cause)
 			return r.mailbox.Send(ctx, disconnected{})
 		},
@@ -71,7 +71,7 @@
 // Known returns the leader, or the zero address while there is none, and the list of controllers that one of them
 // reported last.
 func (r *Requester) Known() (leader netip.AddrPort, controllers []netip.AddrPort) {
-	return r.locator.Known()
+	return r.locator.KnownControllers()
 }
 
 // Call returns the reply, ErrUnsent or ErrUnanswered at the deadline, or the context's error.
