--- a/agent/runner/agent.go
+++ b/agent/runner/agent.go
@@ -183,7 +183,7 @@
 }
 
 // notify converts an update of the controllers into events.
-func (a *Agent) notify(ctx context.Context, notice registrant.Notice) error {
+func (a *Agent) notify(ctx context.Context, notice registrant.Notification) error {
 	if notice.Self != a.Self() {
 		// Events from now on belong to the new incarnation. No task has started since the lease of the old
 		// incarnation ended.
@@ -194,11 +194,11 @@
 		a.Metrics.SetRevision(notice.Configuration.Revision)
 	}
 	var events []executor.Event
-	if !notice.Until.IsZero() {
-		if err := a.lease.Renew(ctx, notice.Until); err != nil {
+	if !notice.LeaseEnd.IsZero() {
+		if err := a.lease.Renew(ctx, notice.LeaseEnd); err != nil {
 			return err
 		}
-		events = append(events, executor.Leased{Until: notice.Until})
+		events = append(events, executor.Leased{Until: notice.LeaseEnd})
 	}
 	if notice.Configuration != nil {
 		events = append(events, executor.Configured{Profiles: notice.Configuration.Profiles})
--- a/agent/runner/agent_test.go
+++ b/agent/runner/agent_test.go
@@ -67,9 +67,9 @@
 	first := agent.Self()
 	second := specifier.Identity{Name: first.Name, Incarnation: first.Incarnation + 1}
 	agent.Events.Add(recorder.Event{Kind: recorder.TaskStarted})
-	must.NoError(t, agent.notify(t.Context(), registrant.Notice{Self: first}))
+	must.NoError(t, agent.notify(t.Context(), registrant.Notification{Self: first}))
 	agent.Events.Add(recorder.Event{Kind: recorder.TaskEnded})
-	must.NoError(t, agent.notify(t.Context(), registrant.Notice{Self: second}))
+	must.NoError(t, agent.notify(t.Context(), registrant.Notification{Self: second}))
 	agent.Events.Add(recorder.Event{Kind: recorder.TaskStarted})
 	events, _ := agent.Events.All()
 	must.Len(t, 3, events)
--- a/controller/server/bench_test.go
+++ b/controller/server/bench_test.go
@@ -207,7 +207,7 @@
 			Addr: c.peers[0].Addr, Zone: "heredia", Service: "reservas", Slots: 8}
 		who.Load = func() *specifier.Load { return &specifier.Load{Slots: 8} }
 		who.Log = zerolog.Nop()
-		who.Notify = func(context.Context, registrant.Notice) error { return nil }
+		who.Notify = func(context.Context, registrant.Notification) error { return nil }
 		for _, peer := range c.peers {
 			who.Controllers = append(who.Controllers, peer.Addr)
 		}
--- a/core/registrant/registrant.go
+++ b/core/registrant/registrant.go
@@ -28,7 +28,7 @@
 	Member      specifier.Member // its incarnation is replaced when the controllers expel it
 	Controllers []netip.AddrPort
 	Pool        *dialer.Pool
-	Notify      func(context.Context, Notice) error // called from one goroutine
+	Notify      func(context.Context, Notification) error // called from one goroutine
 	// Load returns what presences report; nil for a member that has none.
 	Load func() *specifier.Load
 	// Needs returns what an entry's teams could use; nil for other members.
@@ -181,13 +181,13 @@
 }
 
 func (r *Registrant) handle(ctx context.Context, update specifier.Update, timer *time.Timer) error {
-	notice := Notice{Self: r.Member.Identity, Members: r.roster.merge(update), Version: r.roster.version}
+	notice := Notification{Self: r.Member.Identity, Members: r.roster.merge(update), MemberVersion: r.roster.version}
 	if update.Configuration != nil && update.Configuration.Revision > r.revision {
 		r.revision = update.Configuration.Revision
 		notice.Configuration = update.Configuration
 	}
 	if update.Lease > 0 && !r.sent.IsZero() {
-		notice.Until = r.sent.Add(update.Lease)
+		notice.LeaseEnd = r.sent.Add(update.Lease)
 		notice.Shares = update.Shares
 		r.sent = time.Time{}
 		timer.Reset(update.Lease / 3)
--- a/entry/runner/entry.go
+++ b/entry/runner/entry.go
@@ -194,17 +194,17 @@
 func (e *Entry) Self() specifier.Identity { return *e.self.Load() }
 
 // notify converts a notice of the controllers to events for the coordinator.
-func (e *Entry) notify(ctx context.Context, notice registrant.Notice) error {
+func (e *Entry) notify(ctx context.Context, notice registrant.Notification) error {
 	var events []coordinator.Event
-	if !notice.Until.IsZero() {
+	if !notice.LeaseEnd.IsZero() {
 		e.self.Store(&notice.Self)
-		if err := e.lease.Renew(ctx, notice.Until); err != nil {
+		if err := e.lease.Renew(ctx, notice.LeaseEnd); err != nil {
 			return err
 		}
-		events = append(events, coordinator.Identified{Self: notice.Self}, coordinator.SharesGranted{Until: notice.Until, Shares: notice.Shares})
+		events = append(events, coordinator.Identified{Self: notice.Self}, coordinator.SharesGranted{Until: notice.LeaseEnd, Shares: notice.Shares})
 	}
 	if notice.Members != nil {
-		events = append(events, coordinator.MembersChanged{Version: notice.Version, Members: notice.Members})
+		events = append(events, coordinator.MembersChanged{Version: notice.MemberVersion, Members: notice.Members})
 	}
 	if notice.Configuration != nil {
 		events = append(events, coordinator.Configured{Configuration: *notice.Configuration})
