--- a/agent/runner/agent.go
+++ b/agent/runner/agent.go
@@ -140,7 +140,7 @@
 		a.Health.Meet(conditionLease)
 		a.Metrics.SetLeaseMargin(left)
 	}
-	a.lease.Lapsed = func() { a.Health.Miss(conditionLease, "no controller has renewed it in time") }
+	a.lease.Expired = func() { a.Health.Miss(conditionLease, "no controller has renewed it in time") }
 }
 
 // Run serves until ctx ends, which aborts the calls to the upstream; Steps stop an agent gracefully. Run calls Open
--- a/core/registrant/lease.go
+++ b/core/registrant/lease.go
@@ -9,7 +9,7 @@
 type Lease struct {
 	Clock   func() time.Time
 	Renewed func(left time.Duration) // what was left of the lease, negative when it had ended
-	Lapsed  func()
+	Expired func()
 
 	renewals chan time.Time
 }
@@ -39,7 +39,7 @@
 		case <-ctx.Done():
 			return context.Cause(ctx)
 		case <-timer.C:
-			l.Lapsed()
+			l.Expired()
 		case until := <-l.renewals:
 			now := l.Clock()
 			left := time.Duration(0)
--- a/core/registrant/lease_test.go
+++ b/core/registrant/lease_test.go
@@ -16,7 +16,7 @@
 	lease.Clock = func() time.Time { return nine }
 	left, lapsed := make(chan time.Duration, 1), make(chan struct{}, 1)
 	lease.Renewed = func(margin time.Duration) { left <- margin }
-	lease.Lapsed = func() { lapsed <- struct{}{} }
+	lease.Expired = func() { lapsed <- struct{}{} }
 	ctx, cancel := context.WithCancel(t.Context())
 	var group errgroup.Group
 	group.Go(func() error { return lease.Run(ctx) })
--- a/entry/runner/entry.go
+++ b/entry/runner/entry.go
@@ -169,7 +169,7 @@
 		e.Health.Meet(conditionLease)
 		e.Metrics.SetLeaseMargin(left)
 	}
-	e.lease.Lapsed = func() { e.Health.Miss(conditionLease, "no controller has renewed it in time") }
+	e.lease.Expired = func() { e.Health.Miss(conditionLease, "no controller has renewed it in time") }
 }
 
 // register registers the entry at the controllers and renews its lease until the entry leaves.
