--- a/core/container/interner.go
+++ b/core/container/interner.go
@@ -10,7 +10,7 @@
 }
 
 // Hold returns the number of item and counts one use.
-func (n *Interner[T]) Hold(item T) uint32 {
+func (n *Interner[T]) Acquire(item T) uint32 {
 	var zero T
 	if item == zero {
 		return 0
@@ -24,7 +24,7 @@
 }
 
 // Drop ends one use of number and forgets its value after the last one.
-func (n *Interner[T]) Drop(number uint32) {
+func (n *Interner[T]) Release(number uint32) {
 	if number == 0 {
 		return
 	}
--- a/core/container/interner_test.go
+++ b/core/container/interner_test.go
@@ -16,11 +16,11 @@
 		for range rapid.IntRange(0, 50).Draw(t, "steps") {
 			if len(held) > 0 && rapid.Bool().Draw(t, "drop") {
 				at := rapid.IntRange(0, len(held)-1).Draw(t, "at")
-				interner.Drop(held[at])
+				interner.Release(held[at])
 				held, values = append(held[:at], held[at+1:]...), append(values[:at], values[at+1:]...)
 			} else {
 				value := rapid.SampledFrom([]string{"", "a", "b", "c"}).Draw(t, "value")
-				held, values = append(held, interner.Hold(value)), append(values, value)
+				held, values = append(held, interner.Acquire(value)), append(values, value)
 			}
 			distinct := map[string]bool{}
 			for i, number := range held {
--- a/state/registrar/decode.go
+++ b/state/registrar/decode.go
@@ -175,10 +175,10 @@
 		return errors.Newf("Answers: is %d of %d", outcome, len(d.answers))
 	}
 	if owner > 0 {
-		known.owner = d.registrar.owners.Hold(d.owners[owner-1])
+		known.owner = d.registrar.owners.Acquire(d.owners[owner-1])
 	}
 	if outcome > 0 {
-		known.answer = d.registrar.answers.Hold(d.answers[outcome-1])
+		known.answer = d.registrar.answers.Acquire(d.answers[outcome-1])
 	}
 	return nil
 }
--- a/state/registrar/submissions.go
+++ b/state/registrar/submissions.go
@@ -30,7 +30,7 @@
 		return specifier.Decision{Verdict: specifier.Full}
 	}
 	known.digest, known.accepted, known.phase = shorten(c.Digest), r.index, owned
-	r.answers.Drop(known.answer)
+	r.answers.Release(known.answer)
 	known.answer, known.held = 0, 0
 	known.epoch++
 	r.own(&known, c.Owner)
@@ -86,7 +86,7 @@
 	if c.Answer.Outcome == specifier.NotRun && c.Answer.Reason != specifier.Cancelled {
 		known.phase, known.held = refused, keepUntil(r.now.Add(specifier.RefusalHold))
 	}
-	known.answer = r.answers.Hold(answerOf(c.Answer))
+	known.answer = r.answers.Acquire(answerOf(c.Answer))
 	r.submissions[c.Job] = known
 	return r.finished(known)
 }
@@ -123,8 +123,8 @@
 	case !ok && len(r.submissions) >= r.MaxSubmissions:
 		return specifier.Decision{Verdict: specifier.Full}
 	}
-	r.answers.Drop(known.answer)
-	known.answer = r.answers.Hold(answerOf(c.Answer))
+	r.answers.Release(known.answer)
+	known.answer = r.answers.Acquire(answerOf(c.Answer))
 	known.digest, known.phase = shorten(c.Digest), refused
 	known.held = keepUntil(r.now.Add(specifier.RefusalHold))
 	if !ok {
@@ -151,8 +151,8 @@
 	case !ok && len(r.submissions) >= r.MaxSubmissions:
 		return specifier.Decision{Verdict: specifier.Full}
 	}
-	r.answers.Drop(known.answer)
-	known.answer = r.answers.Hold(answerOf(specifier.Refuse(specifier.Cancelled, "cancelled before it was accepted")))
+	r.answers.Release(known.answer)
+	known.answer = r.answers.Acquire(answerOf(specifier.Refuse(specifier.Cancelled, "cancelled before it was accepted")))
 	if known.epoch > 0 {
 		known.phase = finished
 		r.submissions[c.Job] = known
@@ -187,8 +187,8 @@
 
 func (r *Registrar) own(known *submission, owner specifier.Identity) {
 	former := known.owner
-	known.owner = r.owners.Hold(owner)
-	r.owners.Drop(former)
+	known.owner = r.owners.Acquire(owner)
+	r.owners.Release(former)
 }
 
 // keepTime returns until when a submission with this much time left is remembered.
@@ -220,8 +220,8 @@
 		}
 		r.expiring.Pop()
 		if known, ok := r.submissions[next.job]; ok && known.keep.reached(r.now) {
-			r.owners.Drop(known.owner)
-			r.answers.Drop(known.answer)
+			r.owners.Release(known.owner)
+			r.answers.Release(known.answer)
 			delete(r.submissions, next.job)
 		}
 	}
