--- a/agent/leaseholder/leaseholder_test.go
+++ b/agent/leaseholder/leaseholder_test.go
@@ -25,7 +25,7 @@
 		holder: &LeaseHolder{Name: "agent", Incarnation: 1, GrantSpan: 1200 * time.Millisecond, MaxLease: time.Second, StartedAt: start}}
 	f.step(Connected{})
 	f.step(Announced{Sequence: 1, Worker: specifier.LeasedWorker{ID: "w", StartedAt: f.workerStart, Capacity: specifier.Resources{MilliCores: 1000}}})
-	f.step(OrderReceived{specifier.LeaseOrder{Token: 1, Granted: f.holder.renewal}})
+	f.step(OrderReceived{specifier.LeaseOrder{Token: 1, GrantedRenewal: f.holder.renewal}})
 	f.answerPolls(nil, nil)
 	return f
 }
@@ -44,7 +44,7 @@
 }
 
 func (f *fixture) order(run uint64) {
-	f.step(OrderReceived{specifier.LeaseOrder{Token: 1, Orders: run, Starts: []specifier.RunStart{{Key: key(run)}}}})
+	f.step(OrderReceived{specifier.LeaseOrder{Token: 1, OrderCount: run, Starts: []specifier.RunStart{{Key: key(run)}}}})
 }
 
 func key(run uint64) specifier.RunKey { return specifier.RunKey{Task: "job.0.0.0", Run: run} }
@@ -65,7 +65,7 @@
 	f.t.Helper()
 	var refused []specifier.RunEnd
 	for _, report := range find[Report](f.actions) {
-		refused = append(refused, report.Report.Refused...)
+		refused = append(refused, report.Report.RefusedStarts...)
 	}
 	must.SliceLen(f.t, 1, refused)
 	must.Eq(f.t, kind, refused[0].Kind)
--- a/agent/leaseholder/runs.go
+++ b/agent/leaseholder/runs.go
@@ -34,7 +34,7 @@
 }
 
 func (l *LeaseHolder) refuse(key specifier.RunKey, kind specifier.EndKind) {
-	l.report(specifier.LeaseReport{Refused: []specifier.RunEnd{{Key: key, Kind: kind}}})
+	l.report(specifier.LeaseReport{RefusedStarts: []specifier.RunEnd{{Key: key, Kind: kind}}})
 }
 
 // started handles the answer to a start.
--- a/agent/leaseholder/session.go
+++ b/agent/leaseholder/session.go
@@ -35,7 +35,7 @@
 	if !l.connected {
 		return
 	}
-	report.Agent, report.Incarnation, report.Orders, report.Leaving = l.Name, l.Incarnation, l.orders, l.leaving
+	report.Agent, report.Incarnation, report.LastOrder, report.Leaving = l.Name, l.Incarnation, l.orders, l.leaving
 	report.AllRunsKnown, report.Token = l.settled(), l.token
 	if l.workerChanged || report.RunsComplete {
 		report.Worker = l.worker
@@ -50,11 +50,11 @@
 		return
 	}
 	l.adoptToken(order.Token)
-	if sent, known := l.renewals[order.Granted]; known && order.Granted > 0 {
+	if sent, known := l.renewals[order.GrantedRenewal]; known && order.GrantedRenewal > 0 {
 		l.grantEnd = later(l.grantEnd, sent.Add(l.GrantSpan))
-		delete(l.renewals, order.Granted)
+		delete(l.renewals, order.GrantedRenewal)
 	}
-	l.orders = order.Orders
+	l.orders = order.OrderCount
 	for _, key := range order.Stops {
 		if run := l.runs[key]; run != nil {
 			l.stop(run)
--- a/controller/dispatcher/dispatcher.go
+++ b/controller/dispatcher/dispatcher.go
@@ -116,7 +116,7 @@
 	for _, a := range d.orderedAgents {
 		if a.stream != 0 {
 			order := d.orders[a]
-			order.Token, order.Orders = d.fence(a), a.orderCount
+			order.Token, order.OrderCount = d.fence(a), a.orderCount
 			d.emit(Order{Stream: a.stream, Order: *order})
 		}
 	}
--- a/controller/dispatcher/fixture_test.go
+++ b/controller/dispatcher/fixture_test.go
@@ -57,7 +57,7 @@
 	report := specifier.LeaseReport{Agent: agentName(agent), Incarnation: 1, Renewal: f.renewal, AllRunsKnown: true, RunsComplete: true,
 		Worker: &specifier.LeasedWorker{ID: agentName(agent), StartedAt: time.Unix(1, 0), Pool: "p", Capacity: specifier.Resources{MilliCores: 2000, Memory: 100}}}
 	if a := f.d.agents[agentName(agent)]; a != nil {
-		report.Token, report.Orders = f.d.fence(a), a.orderCount
+		report.Token, report.LastOrder = f.d.fence(a), a.orderCount
 		for _, r := range a.sortedRuns() {
 			report.Runs = append(report.Runs, specifier.LeasedRun{Key: r.key, Resources: r.resources})
 		}
--- a/controller/dispatcher/report.go
+++ b/controller/dispatcher/report.go
@@ -23,7 +23,7 @@
 	}
 	if report.Renewal > 0 && d.Leading(d.now) {
 		a.renewedAt, a.grantUntil = d.now, d.now.Add(d.Settings.GrantSpan)
-		d.orderTo(a).Granted = report.Renewal
+		d.orderTo(a).GrantedRenewal = report.Renewal
 	}
 	if report.RunsComplete || a.listed {
 		// Before the first list of a term, a report may lack earlier ends, which acknowledging its ends would skip.
@@ -31,7 +31,7 @@
 			d.handleEnd(a, end)
 		}
 	}
-	for _, end := range report.Refused {
+	for _, end := range report.RefusedStarts {
 		d.startRefused(a, end)
 	}
 	if report.RunsComplete {
@@ -142,7 +142,7 @@
 // reconcileRuns compares the runs that an agent listed with those that it was ordered to start.
 func (d *Dispatcher) reconcileRuns(a *agent, report specifier.LeaseReport) {
 	a.listed = true
-	seen := report.Orders
+	seen := report.LastOrder
 	if report.Token != d.fence(a) {
 		seen = 0 // the count is of orders of an earlier leader, or of this one in an earlier term
 	}
--- a/core/encoder/leaseorder.go
+++ b/core/encoder/leaseorder.go
@@ -8,7 +8,7 @@
 
 // EncodeLeaseOrder returns the message of one order.
 func EncodeLeaseOrder(order specifier.LeaseOrder) *QueueOrder {
-	m := &QueueOrder{Token: order.Token, Granted: order.Granted, Orders: order.Orders, Noted: order.AcknowledgedEnd}
+	m := &QueueOrder{Token: order.Token, Granted: order.GrantedRenewal, Orders: order.OrderCount, Noted: order.AcknowledgedEnd}
 	if !order.AcknowledgedWorkerStart.IsZero() {
 		m.NotedBorn = order.AcknowledgedWorkerStart.UnixNano()
 	}
@@ -23,7 +23,7 @@
 
 // DecodeLeaseOrder returns the order.
 func DecodeLeaseOrder(m *QueueOrder) specifier.LeaseOrder {
-	order := specifier.LeaseOrder{Token: m.Token, Granted: m.Granted, Orders: m.Orders, AcknowledgedEnd: m.Noted}
+	order := specifier.LeaseOrder{Token: m.Token, GrantedRenewal: m.Granted, OrderCount: m.Orders, AcknowledgedEnd: m.Noted}
 	if m.NotedBorn != 0 {
 		order.AcknowledgedWorkerStart = time.Unix(0, m.NotedBorn)
 	}
--- a/core/encoder/queue_test.go
+++ b/core/encoder/queue_test.go
@@ -40,15 +40,15 @@
 	})
 	t.Run("report", func(t *testing.T) {
 		key := specifier.RunKey{Task: "t", Run: 2}
-		report := specifier.LeaseReport{Agent: "a", Incarnation: 1, Renewal: 2, Orders: 3, AllRunsKnown: true, Token: 4, Leaving: true, RunsComplete: true,
+		report := specifier.LeaseReport{Agent: "a", Incarnation: 1, Renewal: 2, LastOrder: 3, AllRunsKnown: true, Token: 4, Leaving: true, RunsComplete: true,
 			Worker: &specifier.LeasedWorker{ID: "w", StartedAt: time.Unix(5, 0), Pool: "p", Capacity: specifier.Resources{MilliCores: 1}, Labels: []string{"l"}, Draining: true},
 			Runs:   []specifier.LeasedRun{{Key: key, Checkpoint: "s", Resources: specifier.Resources{Memory: 1}, Starting: true}},
-			Ends:   []specifier.RunEnd{{Number: 1, Key: key, Kind: specifier.EndFailed, Checkpoint: "s"}}, Refused: []specifier.RunEnd{{Key: key, Kind: specifier.EndRefusedLate}}}
+			Ends:   []specifier.RunEnd{{Number: 1, Key: key, Kind: specifier.EndFailed, Checkpoint: "s"}}, RefusedStarts: []specifier.RunEnd{{Key: key, Kind: specifier.EndRefusedLate}}}
 		must.Eq(t, report, DecodeLeaseReport(EncodeLeaseReport(report)))
 	})
 	t.Run("order", func(t *testing.T) {
 		key := specifier.RunKey{Task: "t", Run: 2}
-		order := specifier.LeaseOrder{Token: 1, Granted: 2, Orders: 3, AcknowledgedEnd: 4, AcknowledgedWorkerStart: time.Unix(5, 0), Stops: []specifier.RunKey{key},
+		order := specifier.LeaseOrder{Token: 1, GrantedRenewal: 2, OrderCount: 3, AcknowledgedEnd: 4, AcknowledgedWorkerStart: time.Unix(5, 0), Stops: []specifier.RunKey{key},
 			Starts: []specifier.RunStart{{Key: key, Content: "c", Checkpoint: "s", Resources: specifier.Resources{Accelerators: 1}}}}
 		must.Eq(t, order, DecodeLeaseOrder(EncodeLeaseOrder(order)))
 	})
