--- a/core/encoder/decision.go
+++ b/core/encoder/decision.go
@@ -7,7 +7,7 @@
 	d.Answer.Results = nil
 	m := &Decision{Verdict: string(d.Verdict), Owner: EncodeIdentity(d.Owner), OwnerAddr: address(d.OwnerAddr),
 		OwnerDown: d.OwnerDown, Epoch: uint64(d.Epoch), Revision: uint64(d.Revision), Answer: EncodeAnswer(d.Answer),
-		Operator: d.Operator, Detail: clean(d.Detail, specifier.MaxReport), Leader: address(d.Leader), MemberVersion: d.MemberVersion}
+		Operator: d.Operator, Detail: clean(d.Detail, specifier.MaxDecisionDetail), Leader: address(d.Leader), MemberVersion: d.MemberVersion}
 	for _, id := range d.Departed {
 		m.Departed = append(m.Departed, EncodeIdentity(id))
 	}
@@ -37,7 +37,7 @@
 		Answer:        c.optionalAnswer(path+".Answer", m.Answer),
 		MemberVersion: m.MemberVersion,
 		Operator:      c.text(path+".Operator", m.Operator, specifier.MaxName),
-		Detail:        c.text(path+".Detail", m.Detail, specifier.MaxReport),
+		Detail:        c.text(path+".Detail", m.Detail, specifier.MaxDecisionDetail),
 		Leader:        c.optionalAddr(path+".Leader", m.Leader),
 	}
 	if c.length(path+".Departed", len(m.Departed), specifier.MaxDeparted) {
--- a/core/specifier/limits.go
+++ b/core/specifier/limits.go
@@ -15,7 +15,7 @@
 	// every finished submission, so it is short.
 	MaxDetail = 256
 	// MaxReport is the longest Detail of a decision, in bytes: room for all Problems of a change.
-	MaxReport = 4 << 10
+	MaxDecisionDetail = 4 << 10
 	// MaxProfiles is the largest number of profiles in a configuration.
 	MaxProfiles = 1024
 	// MaxTeams is the largest number of teams in a configuration; 220 are expected.
@@ -49,7 +49,7 @@
 	// RefusalHold is how long a refused key gets the same refusal again, on the log's clock. It is
 	// longer than an entry waits for a decision, so that every copy that was on its way when the
 	// job was refused gets the same answer. Then the key may be submitted anew.
-	RefusalHold = 10 * time.Second
+	RefusalRetention = 10 * time.Second
 	// KeyRetention is how long a key is remembered after its job's deadline.
 	KeyRetention = 10 * time.Minute
 )
--- a/entry/coordinator/submission.go
+++ b/entry/coordinator/submission.go
@@ -59,7 +59,7 @@
 	if c.draining {
 		answer := specifier.Refuse(specifier.Stopping, "this entry is shutting down")
 		// During this time every entry answers the key with this refusal.
-		answer.RetryAfter = specifier.RefusalHold
+		answer.RetryAfter = specifier.RefusalRetention
 		return &answer
 	}
 	if !job.spec.Deadline.After(now) {
--- a/state/registrar/submissions.go
+++ b/state/registrar/submissions.go
@@ -84,7 +84,7 @@
 	}
 	known.phase = finished
 	if c.Answer.Outcome == specifier.NotRun && c.Answer.Reason != specifier.Cancelled {
-		known.phase, known.held = refused, keepUntil(r.now.Add(specifier.RefusalHold))
+		known.phase, known.held = refused, keepUntil(r.now.Add(specifier.RefusalRetention))
 	}
 	known.answer = r.answers.Acquire(answerOf(c.Answer))
 	r.submissions[c.Job] = known
@@ -126,7 +126,7 @@
 	r.answers.Release(known.answer)
 	known.answer = r.answers.Acquire(answerOf(c.Answer))
 	known.digest, known.phase = shorten(c.Digest), refused
-	known.held = keepUntil(r.now.Add(specifier.RefusalHold))
+	known.held = keepUntil(r.now.Add(specifier.RefusalRetention))
 	if !ok {
 		known.accepted = r.index
 	}
