--- a/controller/dispatcher/call.go
+++ b/controller/dispatcher/call.go
@@ -38,13 +38,13 @@
 	}
 	queue, id, found := d.Recorder.Manifest().Find(event.Call.Host, event.Call.Path)
 	if !found {
-		d.reply(from, specifier.QueueReply{Result: specifier.QueueUnknown, Detail: "no such queue"})
+		d.reply(from, specifier.QueueReply{Result: specifier.QueueNotFound, Detail: "no such queue"})
 		return
 	}
 	switch event.Call.Verb {
 	case specifier.SubmitQueued:
 		d.submit(from, event.Call, queue, id)
-	case specifier.AskQueued:
+	case specifier.QueryQueued:
 		d.askState(from, queue, id)
 	case specifier.CancelQueued:
 		d.cancel(from, queue, id)
@@ -85,12 +85,12 @@
 				pending++
 			}
 		}
-		d.reply(from, specifier.QueueReply{Result: specifier.QueueOK, Pending: pending, Counted: true})
+		d.reply(from, specifier.QueueReply{Result: specifier.QueueOK, Pending: pending, HasPending: true})
 		return
 	}
 	record := d.Recorder.Job(id)
 	if record == nil || record.Job.Queue != queue.Name {
-		d.reply(from, specifier.QueueReply{Result: specifier.JobGone, Detail: "no such job"})
+		d.reply(from, specifier.QueueReply{Result: specifier.JobNotFound, Detail: "no such job"})
 		return
 	}
 	state := record.State
@@ -120,7 +120,7 @@
 	known := record != nil && record.Job.Queue == queue.Name || j != nil && j.Queue == queue.Name
 	switch {
 	case !known:
-		d.reply(from, specifier.QueueReply{Result: specifier.JobGone, Detail: "no such job"})
+		d.reply(from, specifier.QueueReply{Result: specifier.JobNotFound, Detail: "no such job"})
 	case j != nil && j.Transient:
 		d.stopRuns(j)
 		d.finish(j, specifier.QueueReply{Result: specifier.QueueOK, State: specifier.JobCancelled})
--- a/controller/dispatcher/dispatcher_test.go
+++ b/controller/dispatcher/dispatcher_test.go
@@ -112,8 +112,8 @@
 	})
 	t.Run("unknown queue", func(t *testing.T) {
 		f := newFixture(t, 1)
-		f.step(CallReceived{Stream: caller, Sequence: 1, Call: specifier.QueueCall{Verb: specifier.AskQueued, Host: "h", Path: "/other/a"}})
-		f.mustReply(specifier.QueueUnknown)
+		f.step(CallReceived{Stream: caller, Sequence: 1, Call: specifier.QueueCall{Verb: specifier.QueryQueued, Host: "h", Path: "/other/a"}})
+		f.mustReply(specifier.QueueNotFound)
 	})
 	t.Run("never started in time", func(t *testing.T) { // guards against running tasks of a job that was refused
 		f := newFixture(t, 0)
@@ -153,7 +153,7 @@
 // Guards against a caller that learns of the end of its job only with its next poll, because its query came just before the end.
 func TestQuestionAtTheEnd(t *testing.T) {
 	ask := func(f *fixture) {
-		f.step(CallReceived{Stream: caller, Sequence: 50, Call: specifier.QueueCall{Verb: specifier.AskQueued, Host: "h", Path: "/q/a"}})
+		f.step(CallReceived{Stream: caller, Sequence: 50, Call: specifier.QueueCall{Verb: specifier.QueryQueued, Host: "h", Path: "/q/a"}})
 	}
 	t.Run("the job ends", func(t *testing.T) {
 		f := newFixture(t, 1)
--- a/core/encoder/queue_test.go
+++ b/core/encoder/queue_test.go
@@ -34,7 +34,7 @@
 		must.Eq(t, call, decoded)
 	})
 	t.Run("reply", func(t *testing.T) {
-		reply := specifier.QueueReply{Result: specifier.QueueOK, State: specifier.JobFailed, Pending: 3, Counted: true, RetryAfter: time.Second,
+		reply := specifier.QueueReply{Result: specifier.QueueOK, State: specifier.JobFailed, Pending: 3, HasPending: true, RetryAfter: time.Second,
 			Document: []byte("{}"), Detail: "d"}
 		must.Eq(t, reply, DecodeQueueReply(EncodeQueueReply(1, reply)))
 	})
--- a/core/specifier/queuereply.go
+++ b/core/specifier/queuereply.go
@@ -7,7 +7,7 @@
 	Result     QueueResult
 	State      QueueState
 	Pending    int
-	Counted    bool          // Pending is the answer
+	HasPending bool          // Pending is the answer
 	RetryAfter time.Duration // with Refused: when to come back
 	Document   []byte        // of the manifest in force
 	Detail     string        // for people
--- a/core/specifier/queueresult.go
+++ b/core/specifier/queueresult.go
@@ -5,10 +5,10 @@
 
 // The outcomes.
 const (
-	QueueOK      QueueResult = iota + 1
-	QueueRefused             // the job was not accepted and never runs
-	QueueUnknown             // there is no such queue
-	JobGone                  // there is no such job
+	QueueOK       QueueResult = iota + 1
+	QueueRefused              // the job was not accepted and never runs
+	QueueNotFound             // there is no such queue
+	JobNotFound               // there is no such job
 	QueueInvalid
 	QueueUnavailable // the controller can't tell now
 	QueueExpired     // the job was given up; it may have run in part
--- a/core/specifier/queueverb.go
+++ b/core/specifier/queueverb.go
@@ -6,7 +6,7 @@
 // The calls.
 const (
 	SubmitQueued QueueVerb = iota + 1
-	AskQueued              // state of a job, or the number of pending jobs of a queue
+	QueryQueued            // state of a job, or the number of pending jobs of a queue
 	CancelQueued
 	PutManifest
 	GetManifest
