--- a/controller/dispatcher/call.go
+++ b/controller/dispatcher/call.go
@@ -36,7 +36,7 @@
 		d.reply(from, specifier.QueueReply{Result: specifier.QueueRefused, RetryAfter: time.Second, Detail: "there is no manifest yet"})
 		return
 	}
-	queue, id, found := d.Recorder.Manifest().Find(event.Call.Host, event.Call.Path)
+	queue, id, found := d.Recorder.Manifest().QueueForPath(event.Call.Host, event.Call.Path)
 	if !found {
 		d.reply(from, specifier.QueueReply{Result: specifier.QueueNotFound, Detail: "no such queue"})
 		return
--- a/controller/dispatcher/commit.go
+++ b/controller/dispatcher/commit.go
@@ -42,7 +42,7 @@
 	}
 	delete(d.manifestWaiters, manifest.Version)
 	for _, j := range d.jobs {
-		if queue, known := d.Recorder.Manifest().Named(j.Queue); known {
+		if queue, known := d.Recorder.Manifest().QueueByName(j.Queue); known {
 			j.queue = queue
 		}
 	}
--- a/core/encoder/queue_test.go
+++ b/core/encoder/queue_test.go
@@ -19,7 +19,7 @@
 		for _, command := range []specifier.QueueCommand{
 			{Accept: &queuedJob, Advance: time.Second}, {Cancel: "a"}, {Enroll: "x"}, {Dismiss: "x"},
 			{Ends: []specifier.TaskEnd{{Job: "a", Step: 1, Index: 2, Run: 3, Kind: specifier.EndFailed}}},
-			{Manifest: &specifier.Manifest{Version: 3, Unguarded: []string{"p"}, Document: []byte("{}"), Queues: []specifier.Queue{
+			{Manifest: &specifier.Manifest{Version: 3, NonEnforcingPools: []string{"p"}, Document: []byte("{}"), Queues: []specifier.Queue{
 				{Name: "q", Host: "h", Prefix: "/p/", Pool: "p", Priority: 1, MaxAttempts: 2, Stretch: 1.5, Target: time.Second}}}},
 		} {
 			decoded, err := DecodeQueueCommand(EncodeQueueCommand(command))
--- a/core/specifier/manifest.go
+++ b/core/specifier/manifest.go
@@ -10,14 +10,14 @@
 
 // Manifest defines all queues. The one of the highest version is in force.
 type Manifest struct {
-	Version   uint64
-	Queues    []Queue
-	Unguarded []string // pools whose workers start whatever they are told to
-	Document  []byte   // as the operator sent it
+	Version           uint64
+	Queues            []Queue
+	NonEnforcingPools []string // pools whose workers start whatever they are told to
+	Document          []byte   // as the operator sent it
 }
 
 // Find returns the queue with the longest prefix of path at host, and the rest of the path.
-func (m *Manifest) Find(host, path string) (Queue, string, bool) {
+func (m *Manifest) QueueForPath(host, path string) (Queue, string, bool) {
 	best, found := Queue{}, false
 	for _, queue := range m.Queues {
 		if queue.Host == host && strings.HasPrefix(path, queue.Prefix) && (!found || len(queue.Prefix) > len(best.Prefix)) {
@@ -28,7 +28,7 @@
 }
 
 // Named returns the queue of that name.
-func (m *Manifest) Named(name string) (Queue, bool) {
+func (m *Manifest) QueueByName(name string) (Queue, bool) {
 	at := slices.IndexFunc(m.Queues, func(queue Queue) bool { return queue.Name == name })
 	if at < 0 {
 		return Queue{}, false
--- a/local/simulator/world_test.go
+++ b/local/simulator/world_test.go
@@ -64,7 +64,7 @@
 		w.agents = append(w.agents, newFakeAgent(w, fmt.Sprintf("agent-%d", i)))
 	}
 	w.lead(0)
-	w.commit(specifier.QueueCommand{Manifest: &specifier.Manifest{Version: 1, Unguarded: []string{poolName}, Queues: []specifier.Queue{
+	w.commit(specifier.QueueCommand{Manifest: &specifier.Manifest{Version: 1, NonEnforcingPools: []string{poolName}, Queues: []specifier.Queue{
 		{Name: "q", Host: queueHost, Prefix: queuePrefix, Pool: poolName, MaxAttempts: maxAttempts, Stretch: 1.6, Target: 60 * time.Millisecond}}}})
 	return w
 }
--- a/state/jobrecorder/recorder.go
+++ b/state/jobrecorder/recorder.go
@@ -101,7 +101,7 @@
 // maxAttempts returns after how many failed runs of one task a job of the queue fails. For a queue that was removed, it is
 // one.
 func (r *Recorder) maxAttempts(queue string) int {
-	settings, _ := r.manifest.Named(queue)
+	settings, _ := r.manifest.QueueByName(queue)
 	return max(settings.MaxAttempts, 1)
 }
 
