--- a/controller/dispatcher/admission.go
+++ b/controller/dispatcher/admission.go
@@ -14,7 +14,7 @@
 
 // refusal returns the refusal of a job while too many tasks wait. No task of a refused job ever runs.
 func (d *Dispatcher) refusal(definition specifier.QueuedJob, queue specifier.Queue) (specifier.QueueReply, bool) {
-	if d.waitingTasks+definition.Tasks() > d.Settings.MaxWaiting {
+	if d.waitingTasks+definition.TaskCount() > d.Settings.MaxWaiting {
 		return specifier.QueueReply{Result: specifier.QueueRefused, RetryAfter: d.backlogTime(), Detail: "too many tasks wait"}, true
 	}
 	return specifier.QueueReply{}, false
--- a/controller/dispatcher/job.go
+++ b/controller/dispatcher/job.go
@@ -31,7 +31,7 @@
 const expiryFactor = 3
 
 func newJob(definition specifier.QueuedJob, queue specifier.Queue, now time.Time) *job {
-	j := &job{QueuedJob: definition, queue: queue, arrived: now, criticalPath: definition.Ideal()}
+	j := &job{QueuedJob: definition, queue: queue, arrived: now, criticalPath: definition.IdealRunTime()}
 	for number, step := range definition.Steps {
 		var tasks []*task
 		for index := range step.Count {
--- a/core/specifier/queuedjob.go
+++ b/core/specifier/queuedjob.go
@@ -24,7 +24,7 @@
 }
 
 // Tasks returns the number of tasks.
-func (j QueuedJob) Tasks() int {
+func (j QueuedJob) TaskCount() int {
 	total := 0
 	for _, step := range j.Steps {
 		total += step.Count
@@ -33,7 +33,7 @@
 }
 
 // Ideal returns the run time of the longest chain of steps, by their estimates.
-func (j QueuedJob) Ideal() time.Duration {
+func (j QueuedJob) IdealRunTime() time.Duration {
 	var longest time.Duration
 	chains := make([]time.Duration, len(j.Steps))
 	for number, step := range j.Steps {
@@ -68,7 +68,7 @@
 		}
 	}
 	if p.OrNil() == nil {
-		between(p, "Steps", j.Tasks(), 1, MaxQueuedTasks)
+		between(p, "Steps", j.TaskCount(), 1, MaxQueuedTasks)
 	}
 	return p.OrNil()
 }
--- a/entry/requester/machine.go
+++ b/entry/requester/machine.go
@@ -112,7 +112,7 @@
 	if m.disconnectedAt.IsZero() {
 		return call.deadline
 	}
-	ideal := call.call.Job.Ideal()
+	ideal := call.call.Job.IdealRunTime()
 	giveUp := m.disconnectedAt.Add(leaderTimeout)
 	switch soon := call.startedAt.Add(ideal / idealDivisor); {
 	case call.call.Verb != specifier.SubmitQueued:
--- a/entry/requester/machine_test.go
+++ b/entry/requester/machine_test.go
@@ -142,7 +142,7 @@
 		submit(f)
 		f.advance(leaderTimeout)
 		call := submit(f)
-		f.advance(job.Ideal() / idealDivisor)
+		f.advance(job.IdealRunTime() / idealDivisor)
 		f.mustAnswer(call, 0, ErrUnsent)
 	})
 	t.Run("a job that may be running", func(t *testing.T) { // guards against failing the call of a job that may still be running
@@ -150,7 +150,7 @@
 		f.connect()
 		call := submit(f)
 		f.step(disconnected{})
-		f.advance(leaderTimeout + job.Ideal() - time.Millisecond)
+		f.advance(leaderTimeout + job.IdealRunTime() - time.Millisecond)
 		must.MapEmpty(t, f.answers)
 		f.advance(time.Millisecond)
 		f.mustAnswer(call, 0, ErrUnanswered)
--- a/state/jobrecorder/record.go
+++ b/state/jobrecorder/record.go
@@ -19,7 +19,7 @@
 }
 
 func newRecord(job specifier.QueuedJob) *Record {
-	record := &Record{Job: job, remaining: job.Tasks(), failed: make(map[position][]uint64)}
+	record := &Record{Job: job, remaining: job.TaskCount(), failed: make(map[position][]uint64)}
 	for _, step := range job.Steps {
 		record.Done = append(record.Done, make([]bool, step.Count))
 	}
