--- a/core/verifier/check.go
+++ b/core/verifier/check.go
@@ -27,7 +27,7 @@
 		found = append(found, job.noContradiction()...)
 		found = append(found, job.fenceHolds()...)
 	}
-	return append(found, drainHolds(ordered, facts.DrainBound)...)
+	return append(found, drainHolds(ordered, facts.DrainGracePeriod)...)
 }
 
 // group splits events by job, in the order in which jobs appear.
--- a/core/verifier/check_test.go
+++ b/core/verifier/check_test.go
@@ -276,7 +276,7 @@
 	drained := func() *script {
 		return new(script).add(0, workerA, recorder.MemberDraining, 0, "", "", "").accepted(0, 1)
 	}
-	bound := Facts{DrainBound: 3 * time.Second}
+	bound := Facts{DrainGracePeriod: 3 * time.Second}
 	t.Run("after the bound", func(t *testing.T) {
 		assertRules(t, drained().run(3000, workerA, 1, "a"), bound, DrainHolds)
 	})
--- a/core/verifier/facts.go
+++ b/core/verifier/facts.go
@@ -14,7 +14,7 @@
 	// tasks that some event names are known.
 	Tasks func(specifier.JobID) int
 	// DrainBound is how long after MemberDraining a task may still start.
-	DrainBound time.Duration
+	DrainGracePeriod time.Duration
 }
 
 func (f Facts) repeatable(job specifier.JobID) bool { return f.Repeatable != nil && f.Repeatable(job) }
