--- a/controller/driver/driver.go
+++ b/controller/driver/driver.go
@@ -241,7 +241,7 @@
 			}
 		}
 		d.control(now, d.Sequencer.Step(now, sequencer.Committed{Index: uint64(entry.Index), Term: uint64(entry.Term), Batch: batch}))
-		for _, command := range batch.Queue {
+		for _, command := range batch.QueueCommands {
 			d.queue(now, d.Dispatcher.Step(now, dispatcher.Applied{Command: command}))
 		}
 		d.addToHistory()
--- a/controller/driver/queues.go
+++ b/controller/driver/queues.go
@@ -24,7 +24,7 @@
 			d.actions = append(d.actions, Action{Queue: action})
 			continue
 		}
-		data, err := proto.Marshal(encoder.EncodeBatch(specifier.Batch{Queue: []specifier.QueueCommand{propose.Command}}))
+		data, err := proto.Marshal(encoder.EncodeBatch(specifier.Batch{QueueCommands: []specifier.QueueCommand{propose.Command}}))
 		if err != nil {
 			d.Fault(errors.Wrap(err, "driver: encode a command of the queues"))
 			continue
--- a/core/encoder/batch.go
+++ b/core/encoder/batch.go
@@ -12,7 +12,7 @@
 	for _, command := range batch.Commands {
 		m.Commands = append(m.Commands, EncodeCommand(command))
 	}
-	for _, command := range batch.Queue {
+	for _, command := range batch.QueueCommands {
 		m.Queue = append(m.Queue, EncodeQueueCommand(command))
 	}
 	return m
@@ -38,7 +38,7 @@
 		if err != nil {
 			return specifier.Batch{}, errors.Wrapf(err, "LogBatch.Queue[%d]", i)
 		}
-		batch.Queue = append(batch.Queue, command)
+		batch.QueueCommands = append(batch.QueueCommands, command)
 	}
 	return batch, nil
 }
--- a/core/specifier/batch.go
+++ b/core/specifier/batch.go
@@ -13,5 +13,5 @@
 	// the former bound.
 	MaxSubmissions int
 	// Queue holds changes of the queues.
-	Queue []QueueCommand
+	QueueCommands []QueueCommand
 }
