--- a/local/deployer/stop_test.go
+++ b/local/deployer/stop_test.go
@@ -31,7 +31,7 @@
 )
 
 // burst is many callers that submit what was not run again, at the other entry. They use a new key, since the
-// refusal of the first is held for specifier.RefusalHold.
+// refusal of the first is held for specifier.RefusalRetention.
 type burst struct {
 	sender *submitter.Submitter
 	starts *emulator.StartLog
