--- a/agent/leaseholder/leaseholder_test.go
+++ b/agent/leaseholder/leaseholder_test.go
@@ -24,8 +24,8 @@
 	f := &fixture{t: t, now: start, workerStart: start.Add(-time.Hour),
 		holder: &LeaseHolder{Name: "agent", Incarnation: 1, GrantSpan: 1200 * time.Millisecond, MaxLease: time.Second, StartedAt: start}}
 	f.step(Connected{})
-	f.step(Announced{Sequence: 1, Worker: specifier.LeasedWorker{ID: "w", Born: f.workerStart, Capacity: specifier.Resources{MilliCores: 1000}}})
-	f.step(OrderReceived{specifier.LeaseOrder{Token: 1, Granted: f.holder.renewal}})
+	f.step(Announced{Sequence: 1, Worker: specifier.LeasedWorker{ID: "w", StartedAt: f.workerStart, Capacity: specifier.Resources{MilliCores: 1000}}})
+	f.step(OrderReceived{specifier.LeaseOrder{Token: 1, GrantedRenewal: f.holder.renewal}})
 	f.answerPolls(nil, nil)
 	return f
 }
@@ -44,7 +44,7 @@
 }
 
 func (f *fixture) order(run uint64) {
-	f.step(OrderReceived{specifier.LeaseOrder{Token: 1, Orders: run, Starts: []specifier.RunStart{{Key: key(run)}}}})
+	f.step(OrderReceived{specifier.LeaseOrder{Token: 1, OrderCount: run, Starts: []specifier.RunStart{{Key: key(run)}}}})
 }
 
 func key(run uint64) specifier.RunKey { return specifier.RunKey{Task: "job.0.0.0", Run: run} }
@@ -65,10 +65,10 @@
 	f.t.Helper()
 	var refused []specifier.RunEnd
 	for _, report := range find[Report](f.actions) {
-		refused = append(refused, report.Report.Refused...)
+		refused = append(refused, report.Report.RefusedStarts...)
 	}
 	must.SliceLen(f.t, 1, refused)
-	must.Eq(f.t, kind, refused[0].How)
+	must.Eq(f.t, kind, refused[0].Kind)
 }
 
 // Guards against a lease that outlasts the controller's grant: after the grant, the task may be started elsewhere.
@@ -93,7 +93,7 @@
 	})
 	t.Run("while the worker drains", func(t *testing.T) { // guards against new work on a worker that is shutting down
 		f := newFixture(t)
-		f.step(Announced{Sequence: 2, Worker: specifier.LeasedWorker{ID: "w", Born: f.workerStart, Draining: true}})
+		f.step(Announced{Sequence: 2, Worker: specifier.LeasedWorker{ID: "w", StartedAt: f.workerStart, Draining: true}})
 		f.order(1)
 		f.mustRefuse(specifier.EndRefusedLate)
 	})
--- a/agent/leaseholder/polling.go
+++ b/agent/leaseholder/polling.go
@@ -76,10 +76,10 @@
 			delete(l.runs, key)
 		}
 	}
-	if l.worker != nil && !l.worker.Born.Equal(startedAt) {
+	if l.worker != nil && !l.worker.StartedAt.Equal(startedAt) {
 		// The new incarnation may be of another kind: it gets no work before it has announced itself.
 		next := *l.worker
-		next.Born, next.Draining = startedAt, true
+		next.StartedAt, next.Draining = startedAt, true
 		l.worker, l.sequence, l.workerChanged = &next, 0, true
 		l.renewIfConnected()
 	}
@@ -130,7 +130,7 @@
 			l.runs[each.Key] = run
 			l.emit(LogEvent{Event: "RunFound", Task: each.Key.Task, Run: each.Key.Run})
 		}
-		run.Saved = each.Saved
+		run.Checkpoint = each.Checkpoint
 		if run.state != runRunning {
 			run.state, run.confirmedAt = runRunning, l.now
 			if run.stopping && run.stopRetryAt.IsZero() {
@@ -160,7 +160,7 @@
 	switch run.state {
 	case runRunning:
 		if result.EndsComplete && run.confirmedAt.Before(result.CalledAt) {
-			l.drop(run, specifier.EndLapsed)
+			l.drop(run, specifier.EndLeaseExpired)
 		}
 	case runUnanswered:
 		if !run.stoppedAt.IsZero() && run.stoppedAt.Before(result.CalledAt) || result.Clock > run.leaseEnd {
@@ -205,7 +205,7 @@
 	l.emit(LogEvent{Event: "LeasesEnded", Age: l.now.Sub(l.answeredAt), Count: len(l.runs)})
 	for _, run := range l.sorted() {
 		if run.state != runStarting {
-			l.drop(run, specifier.EndLapsed)
+			l.drop(run, specifier.EndLeaseExpired)
 		}
 	}
 }
--- a/agent/leaseholder/runs.go
+++ b/agent/leaseholder/runs.go
@@ -24,17 +24,17 @@
 	}
 	if !l.now.Before(l.answeredAt.Add(workerTimeout)) {
 		l.emit(LogEvent{Event: "StartRefused", Task: start.Key.Task, Run: start.Key.Run, Detail: "the worker does not answer", Age: l.now.Sub(l.answeredAt)})
-		l.refuse(start.Key, specifier.EndRefusedSick)
+		l.refuse(start.Key, specifier.EndRefusedUnhealthy)
 		return
 	}
 	leaseEnd := l.maxLeaseEnd()
 	l.leaseEnd = max(l.leaseEnd, leaseEnd)
-	l.runs[start.Key] = &trackedRun{LeasedRun: specifier.LeasedRun{Key: start.Key, Resources: start.Resources, Saved: start.Saved}, leaseEnd: leaseEnd}
+	l.runs[start.Key] = &trackedRun{LeasedRun: specifier.LeasedRun{Key: start.Key, Resources: start.Resources, Checkpoint: start.Checkpoint}, leaseEnd: leaseEnd}
 	l.emit(Start{Start: start, Token: l.workerToken(), LeaseEnd: leaseEnd, WorkerID: l.worker.ID})
 }
 
 func (l *LeaseHolder) refuse(key specifier.RunKey, kind specifier.EndKind) {
-	l.report(specifier.LeaseReport{Refused: []specifier.RunEnd{{Key: key, How: kind}}})
+	l.report(specifier.LeaseReport{RefusedStarts: []specifier.RunEnd{{Key: key, Kind: kind}}})
 }
 
 // started handles the answer to a start.
--- a/agent/leaseholder/session.go
+++ b/agent/leaseholder/session.go
@@ -20,7 +20,7 @@
 	l.renewals[l.renewal] = l.now
 	delete(l.renewals, l.renewal-maxPendingRenewals)
 	l.renewAt = l.now.Add(renewInterval)
-	report := specifier.LeaseReport{Renewal: l.renewal, Listed: true}
+	report := specifier.LeaseReport{Renewal: l.renewal, RunsComplete: true}
 	for _, run := range l.sorted() {
 		listed := run.LeasedRun
 		listed.Starting = run.state != runRunning
@@ -35,9 +35,9 @@
 	if !l.connected {
 		return
 	}
-	report.Agent, report.Incarnation, report.Orders, report.Leaving = l.Name, l.Incarnation, l.orders, l.leaving
-	report.Settled, report.Token = l.settled(), l.token
-	if l.workerChanged || report.Listed {
+	report.Agent, report.Incarnation, report.LastOrder, report.Leaving = l.Name, l.Incarnation, l.orders, l.leaving
+	report.AllRunsKnown, report.Token = l.settled(), l.token
+	if l.workerChanged || report.RunsComplete {
 		report.Worker = l.worker
 		l.workerChanged = false
 	}
@@ -50,11 +50,11 @@
 		return
 	}
 	l.adoptToken(order.Token)
-	if sent, known := l.renewals[order.Granted]; known && order.Granted > 0 {
+	if sent, known := l.renewals[order.GrantedRenewal]; known && order.GrantedRenewal > 0 {
 		l.grantEnd = later(l.grantEnd, sent.Add(l.GrantSpan))
-		delete(l.renewals, order.Granted)
+		delete(l.renewals, order.GrantedRenewal)
 	}
-	l.orders = order.Orders
+	l.orders = order.OrderCount
 	for _, key := range order.Stops {
 		if run := l.runs[key]; run != nil {
 			l.stop(run)
@@ -63,8 +63,8 @@
 	for _, start := range order.Starts {
 		l.start(start)
 	}
-	if l.worker != nil && order.Noted > l.acknowledged && order.NotedBorn.Equal(l.worker.Born) {
-		l.acknowledge(order.Noted)
+	if l.worker != nil && order.AcknowledgedEnd > l.acknowledged && order.AcknowledgedWorkerStart.Equal(l.worker.StartedAt) {
+		l.acknowledge(order.AcknowledgedEnd)
 	}
 }
 
--- a/controller/dispatcher/bench_test.go
+++ b/controller/dispatcher/bench_test.go
@@ -35,8 +35,8 @@
 			}
 			for agent := 1; agent <= workers; agent++ {
 				for range 2 {
-					report := specifier.LeaseReport{Agent: agentName(agent), Incarnation: 1, Renewal: 1, Settled: true, Listed: true,
-						Worker: &specifier.LeasedWorker{ID: agentName(agent), Born: time.Unix(1, 0), Pool: "p", Capacity: specifier.Resources{MilliCores: 16000, Memory: 1 << 15}}}
+					report := specifier.LeaseReport{Agent: agentName(agent), Incarnation: 1, Renewal: 1, AllRunsKnown: true, RunsComplete: true,
+						Worker: &specifier.LeasedWorker{ID: agentName(agent), StartedAt: time.Unix(1, 0), Pool: "p", Capacity: specifier.Resources{MilliCores: 16000, Memory: 1 << 15}}}
 					if a := d.agents[agentName(agent)]; a != nil {
 						report.Token = d.fence(a)
 					}
@@ -63,7 +63,7 @@
 					renewal = uint64(i)
 				}
 				take(step(ReportReceived{Stream: at.stream, Report: specifier.LeaseReport{Agent: agentName(int(at.stream)), Incarnation: 1, Renewal: renewal,
-					Ends: []specifier.RunEnd{{Number: numbers[at.stream], Key: at.key, How: specifier.EndDone}}}}))
+					Ends: []specifier.RunEnd{{Number: numbers[at.stream], Key: at.key, Kind: specifier.EndDone}}}}))
 				if i%workers == 0 {
 					for agent := 1; agent <= workers; agent++ {
 						d.agents[agentName(agent)].renewedAt = now
--- a/controller/dispatcher/commit.go
+++ b/controller/dispatcher/commit.go
@@ -42,7 +42,7 @@
 	}
 	delete(d.manifestWaiters, manifest.Version)
 	for _, j := range d.jobs {
-		if queue, known := d.Recorder.Manifest().Named(j.Queue); known {
+		if queue, known := d.Recorder.Manifest().QueueByName(j.Queue); known {
 			j.queue = queue
 		}
 	}
@@ -91,7 +91,7 @@
 	record := d.Recorder.Job(end.Job)
 	t.recordingRuns = slices.DeleteFunc(t.recordingRuns, func(run uint64) bool { return run == end.Run })
 	switch {
-	case end.How == specifier.EndDone:
+	case end.Kind == specifier.EndDone:
 		if t.run != nil {
 			t.run.task = nil
 			d.stop(t.run)
--- a/controller/dispatcher/dispatcher_test.go
+++ b/controller/dispatcher/dispatcher_test.go
@@ -79,7 +79,7 @@
 	f.report(at, listed)
 	must.SliceEmpty(t, f.starts())
 	f.report(at, func(report *specifier.LeaseReport) {
-		report.Ends, report.Runs = []specifier.RunEnd{{Number: 1, Key: running, How: specifier.EndDone}}, nil
+		report.Ends, report.Runs = []specifier.RunEnd{{Number: 1, Key: running, Kind: specifier.EndDone}}, nil
 	})
 	must.Eq(t, specifier.JobCompleted, f.mustReply(specifier.QueueOK).State)
 }
@@ -90,15 +90,15 @@
 	f.submit("a", 1, false)
 	key := f.starts()[0].Key
 	actions := f.d.Step(f.now, ReportReceived{Stream: 1, Report: specifier.LeaseReport{Agent: agentName(1), Incarnation: 1,
-		Ends: []specifier.RunEnd{{Number: 1, Key: key, How: specifier.EndDone}}}})
+		Ends: []specifier.RunEnd{{Number: 1, Key: key, Kind: specifier.EndDone}}}})
 	for _, order := range find[Order](actions) {
-		must.Eq(t, 0, order.Order.Noted)
+		must.Eq(t, 0, order.Order.AcknowledgedEnd)
 	}
 	proposed := find[Propose](actions)
 	must.SliceLen(t, 1, proposed)
 	acknowledged := uint64(0)
 	for _, order := range find[Order](f.d.Step(f.now, Applied(proposed[0]))) {
-		acknowledged = max(acknowledged, order.Order.Noted)
+		acknowledged = max(acknowledged, order.Order.AcknowledgedEnd)
 	}
 	must.Eq(t, 1, acknowledged)
 }
@@ -112,8 +112,8 @@
 	})
 	t.Run("unknown queue", func(t *testing.T) {
 		f := newFixture(t, 1)
-		f.step(CallReceived{Stream: caller, Sequence: 1, Call: specifier.QueueCall{Verb: specifier.AskQueued, Host: "h", Path: "/other/a"}})
-		f.mustReply(specifier.QueueUnknown)
+		f.step(CallReceived{Stream: caller, Sequence: 1, Call: specifier.QueueCall{Verb: specifier.QueryQueued, Host: "h", Path: "/other/a"}})
+		f.mustReply(specifier.QueueNotFound)
 	})
 	t.Run("never started in time", func(t *testing.T) { // guards against running tasks of a job that was refused
 		f := newFixture(t, 0)
@@ -138,12 +138,12 @@
 		}
 		number++
 		f.report(1, func(report *specifier.LeaseReport) {
-			report.Ends, report.Runs = []specifier.RunEnd{{Number: number, Key: starts[0].Key, How: specifier.EndFailed}}, nil
+			report.Ends, report.Runs = []specifier.RunEnd{{Number: number, Key: starts[0].Key, Kind: specifier.EndFailed}}, nil
 		})
 		for _, retry := range f.starts() {
 			number++
 			f.report(1, func(report *specifier.LeaseReport) {
-				report.Ends, report.Runs = []specifier.RunEnd{{Number: number, Key: retry.Key, How: specifier.EndFailed}}, nil
+				report.Ends, report.Runs = []specifier.RunEnd{{Number: number, Key: retry.Key, Kind: specifier.EndFailed}}, nil
 			})
 		}
 	}
@@ -153,7 +153,7 @@
 // Guards against a caller that learns of the end of its job only with its next poll, because its query came just before the end.
 func TestQuestionAtTheEnd(t *testing.T) {
 	ask := func(f *fixture) {
-		f.step(CallReceived{Stream: caller, Sequence: 50, Call: specifier.QueueCall{Verb: specifier.AskQueued, Host: "h", Path: "/q/a"}})
+		f.step(CallReceived{Stream: caller, Sequence: 50, Call: specifier.QueueCall{Verb: specifier.QueryQueued, Host: "h", Path: "/q/a"}})
 	}
 	t.Run("the job ends", func(t *testing.T) {
 		f := newFixture(t, 1)
@@ -162,7 +162,7 @@
 		ask(f)
 		must.SliceEmpty(t, find[Reply](f.actions))
 		f.report(1, func(report *specifier.LeaseReport) {
-			report.Ends, report.Runs = []specifier.RunEnd{{Number: 1, Key: key, How: specifier.EndDone}}, nil
+			report.Ends, report.Runs = []specifier.RunEnd{{Number: 1, Key: key, Kind: specifier.EndDone}}, nil
 		})
 		must.Eq(t, specifier.JobCompleted, f.mustReply(specifier.QueueOK).State)
 	})
--- a/controller/dispatcher/report.go
+++ b/controller/dispatcher/report.go
@@ -17,24 +17,24 @@
 	if a == nil {
 		return
 	}
-	a.settled, a.leaving = a.settled || report.Settled && report.Listed && report.Token == d.fence(a), report.Leaving
+	a.settled, a.leaving = a.settled || report.AllRunsKnown && report.RunsComplete && report.Token == d.fence(a), report.Leaving
 	if report.Worker != nil {
 		d.updateWorker(a, report.Worker)
 	}
 	if report.Renewal > 0 && d.Leading(d.now) {
 		a.renewedAt, a.grantUntil = d.now, d.now.Add(d.Settings.GrantSpan)
-		d.orderTo(a).Granted = report.Renewal
+		d.orderTo(a).GrantedRenewal = report.Renewal
 	}
-	if report.Listed || a.listed {
+	if report.RunsComplete || a.listed {
 		// Before the first list of a term, a report may lack earlier ends, which acknowledging its ends would skip.
 		for _, end := range report.Ends {
 			d.handleEnd(a, end)
 		}
 	}
-	for _, end := range report.Refused {
+	for _, end := range report.RefusedStarts {
 		d.startRefused(a, end)
 	}
-	if report.Listed {
+	if report.RunsComplete {
 		d.reconcileRuns(a, report)
 	}
 	d.enroll(a)
@@ -90,7 +90,7 @@
 
 // updateWorker stores a worker's description of itself. A new incarnation of a worker has no ends and no health yet.
 func (d *Dispatcher) updateWorker(a *agent, worker *specifier.LeasedWorker) {
-	if a.worker == nil || a.worker.ID != worker.ID || !a.worker.Born.Equal(worker.Born) {
+	if a.worker == nil || a.worker.ID != worker.ID || !a.worker.StartedAt.Equal(worker.StartedAt) {
 		a.handledEnd, a.acknowledgedEnd, a.ends = 0, 0, nil
 		a.health = health{}
 		if a.worker != nil {
@@ -130,7 +130,7 @@
 	}
 	d.emit(LogEvent{Event: "AgentLost", Agent: a.name, Age: d.now.Sub(a.renewedAt), Count: len(a.runs)})
 	for _, r := range a.sortedRuns() {
-		d.loseRun(r, specifier.EndLapsed)
+		d.loseRun(r, specifier.EndLeaseExpired)
 	}
 	d.removeAgent(a)
 	delete(d.streams, a.stream)
@@ -142,7 +142,7 @@
 // reconcileRuns compares the runs that an agent listed with those that it was ordered to start.
 func (d *Dispatcher) reconcileRuns(a *agent, report specifier.LeaseReport) {
 	a.listed = true
-	seen := report.Orders
+	seen := report.LastOrder
 	if report.Token != d.fence(a) {
 		seen = 0 // the count is of orders of an earlier leader, or of this one in an earlier term
 	}
@@ -150,8 +150,8 @@
 	for _, each := range report.Runs {
 		listed[each.Key] = true
 		if known := a.runs[each.Key]; known != nil {
-			if known.task != nil && each.Saved != "" {
-				known.task.checkpoint = each.Saved
+			if known.task != nil && each.Checkpoint != "" {
+				known.task.checkpoint = each.Checkpoint
 			}
 			continue
 		}
@@ -159,7 +159,7 @@
 	}
 	for _, r := range a.sortedRuns() {
 		if a.settled && !listed[r.key] && r.order <= seen {
-			d.loseRun(r, specifier.EndLapsed)
+			d.loseRun(r, specifier.EndLeaseExpired)
 		}
 	}
 }
@@ -226,7 +226,7 @@
 		return
 	}
 	order := d.orderTo(a)
-	order.Noted, order.NotedBorn = a.acknowledgedEnd, a.worker.Born
+	order.AcknowledgedEnd, order.AcknowledgedWorkerStart = a.acknowledgedEnd, a.worker.StartedAt
 }
 
 // task returns the task of that name in a job that has not ended, or nil.
--- a/core/encoder/leaseorder.go
+++ b/core/encoder/leaseorder.go
@@ -8,12 +8,12 @@
 
 // EncodeLeaseOrder returns the message of one order.
 func EncodeLeaseOrder(order specifier.LeaseOrder) *QueueOrder {
-	m := &QueueOrder{Token: order.Token, Granted: order.Granted, Orders: order.Orders, Noted: order.Noted}
-	if !order.NotedBorn.IsZero() {
-		m.NotedBorn = order.NotedBorn.UnixNano()
+	m := &QueueOrder{Token: order.Token, Granted: order.GrantedRenewal, Orders: order.OrderCount, Noted: order.AcknowledgedEnd}
+	if !order.AcknowledgedWorkerStart.IsZero() {
+		m.NotedBorn = order.AcknowledgedWorkerStart.UnixNano()
 	}
 	for _, start := range order.Starts {
-		m.Starts = append(m.Starts, &QueueStart{Task: start.Key.Task, Run: start.Key.Run, Content: start.Content, Saved: start.Saved, Room: EncodeResources(start.Resources)})
+		m.Starts = append(m.Starts, &QueueStart{Task: start.Key.Task, Run: start.Key.Run, Content: start.Content, Saved: start.Checkpoint, Room: EncodeResources(start.Resources)})
 	}
 	for _, stop := range order.Stops {
 		m.Stops = append(m.Stops, &QueueStop{Task: stop.Task, Run: stop.Run})
@@ -23,13 +23,13 @@
 
 // DecodeLeaseOrder returns the order.
 func DecodeLeaseOrder(m *QueueOrder) specifier.LeaseOrder {
-	order := specifier.LeaseOrder{Token: m.Token, Granted: m.Granted, Orders: m.Orders, Noted: m.Noted}
+	order := specifier.LeaseOrder{Token: m.Token, GrantedRenewal: m.Granted, OrderCount: m.Orders, AcknowledgedEnd: m.Noted}
 	if m.NotedBorn != 0 {
-		order.NotedBorn = time.Unix(0, m.NotedBorn)
+		order.AcknowledgedWorkerStart = time.Unix(0, m.NotedBorn)
 	}
 	for _, start := range m.Starts {
 		order.Starts = append(order.Starts, specifier.RunStart{Key: specifier.RunKey{Task: start.Task, Run: start.Run}, Content: start.Content,
-			Saved: start.Saved, Resources: DecodeResources(start.Room)})
+			Checkpoint: start.Saved, Resources: DecodeResources(start.Room)})
 	}
 	for _, stop := range m.Stops {
 		order.Stops = append(order.Stops, specifier.RunKey{Task: stop.Task, Run: stop.Run})
--- a/core/encoder/queue_test.go
+++ b/core/encoder/queue_test.go
@@ -18,8 +18,8 @@
 	t.Run("command", func(t *testing.T) {
 		for _, command := range []specifier.QueueCommand{
 			{Accept: &queuedJob, Advance: time.Second}, {Cancel: "a"}, {Enroll: "x"}, {Dismiss: "x"},
-			{Ends: []specifier.TaskEnd{{Job: "a", Step: 1, Index: 2, Run: 3, How: specifier.EndFailed}}},
-			{Manifest: &specifier.Manifest{Version: 3, Unguarded: []string{"p"}, Document: []byte("{}"), Queues: []specifier.Queue{
+			{Ends: []specifier.TaskEnd{{Job: "a", Step: 1, Index: 2, Run: 3, Kind: specifier.EndFailed}}},
+			{Manifest: &specifier.Manifest{Version: 3, NonEnforcingPools: []string{"p"}, Document: []byte("{}"), Queues: []specifier.Queue{
 				{Name: "q", Host: "h", Prefix: "/p/", Pool: "p", Priority: 1, MaxAttempts: 2, Stretch: 1.5, Target: time.Second}}}},
 		} {
 			decoded, err := DecodeQueueCommand(EncodeQueueCommand(command))
@@ -34,22 +34,22 @@
 		must.Eq(t, call, decoded)
 	})
 	t.Run("reply", func(t *testing.T) {
-		reply := specifier.QueueReply{Result: specifier.QueueOK, State: specifier.JobFailed, Pending: 3, Counted: true, RetryAfter: time.Second,
+		reply := specifier.QueueReply{Result: specifier.QueueOK, State: specifier.JobFailed, Pending: 3, HasPending: true, RetryAfter: time.Second,
 			Document: []byte("{}"), Detail: "d"}
 		must.Eq(t, reply, DecodeQueueReply(EncodeQueueReply(1, reply)))
 	})
 	t.Run("report", func(t *testing.T) {
 		key := specifier.RunKey{Task: "t", Run: 2}
-		report := specifier.LeaseReport{Agent: "a", Incarnation: 1, Renewal: 2, Orders: 3, Settled: true, Token: 4, Leaving: true, Listed: true,
-			Worker: &specifier.LeasedWorker{ID: "w", Born: time.Unix(5, 0), Pool: "p", Capacity: specifier.Resources{MilliCores: 1}, Labels: []string{"l"}, Draining: true},
-			Runs:   []specifier.LeasedRun{{Key: key, Saved: "s", Resources: specifier.Resources{Memory: 1}, Starting: true}},
-			Ends:   []specifier.RunEnd{{Number: 1, Key: key, How: specifier.EndFailed, Saved: "s"}}, Refused: []specifier.RunEnd{{Key: key, How: specifier.EndRefusedLate}}}
+		report := specifier.LeaseReport{Agent: "a", Incarnation: 1, Renewal: 2, LastOrder: 3, AllRunsKnown: true, Token: 4, Leaving: true, RunsComplete: true,
+			Worker: &specifier.LeasedWorker{ID: "w", StartedAt: time.Unix(5, 0), Pool: "p", Capacity: specifier.Resources{MilliCores: 1}, Labels: []string{"l"}, Draining: true},
+			Runs:   []specifier.LeasedRun{{Key: key, Checkpoint: "s", Resources: specifier.Resources{Memory: 1}, Starting: true}},
+			Ends:   []specifier.RunEnd{{Number: 1, Key: key, Kind: specifier.EndFailed, Checkpoint: "s"}}, RefusedStarts: []specifier.RunEnd{{Key: key, Kind: specifier.EndRefusedLate}}}
 		must.Eq(t, report, DecodeLeaseReport(EncodeLeaseReport(report)))
 	})
 	t.Run("order", func(t *testing.T) {
 		key := specifier.RunKey{Task: "t", Run: 2}
-		order := specifier.LeaseOrder{Token: 1, Granted: 2, Orders: 3, Noted: 4, NotedBorn: time.Unix(5, 0), Stops: []specifier.RunKey{key},
-			Starts: []specifier.RunStart{{Key: key, Content: "c", Saved: "s", Resources: specifier.Resources{Accelerators: 1}}}}
+		order := specifier.LeaseOrder{Token: 1, GrantedRenewal: 2, OrderCount: 3, AcknowledgedEnd: 4, AcknowledgedWorkerStart: time.Unix(5, 0), Stops: []specifier.RunKey{key},
+			Starts: []specifier.RunStart{{Key: key, Content: "c", Checkpoint: "s", Resources: specifier.Resources{Accelerators: 1}}}}
 		must.Eq(t, order, DecodeLeaseOrder(EncodeLeaseOrder(order)))
 	})
 }
--- a/local/simulator/fakeworker_test.go
+++ b/local/simulator/fakeworker_test.go
@@ -146,7 +146,7 @@
 		if f.life == life && f.up && f.clock() >= f.until {
 			f.lapses++
 			for _, run := range f.runs {
-				f.end(run, specifier.EndLapsed)
+				f.end(run, specifier.EndLeaseExpired)
 			}
 		}
 	})
@@ -160,7 +160,7 @@
 	f.gone(run)
 	f.highest[run.key.Task] = max(f.highest[run.key.Task], run.key.Run)
 	f.last++
-	f.ends = append(f.ends, specifier.RunEnd{Number: f.last, Key: run.key, How: how})
+	f.ends = append(f.ends, specifier.RunEnd{Number: f.last, Key: run.key, Kind: how})
 	f.endedIn[f.last] = f.lapses
 	f.world.tell("%s: run %v ended %v", f.name, run.key, how)
 	for _, wake := range f.waiting {
@@ -187,7 +187,7 @@
 		f.extend(call.LeaseEnd)
 		if f.runs[key] == nil {
 			if key.Run <= f.highest[key.Task] {
-				refuse(specifier.EndRefusedOld)
+				refuse(specifier.EndRefusedStaleRun)
 				return
 			}
 			f.begun(call)
@@ -283,7 +283,7 @@
 		end := f.ends[0]
 		f.ends = f.ends[1:]
 		id, _, _ := strings.Cut(end.Key.Task, ".")
-		if end.How == specifier.EndDone && f.world.kept(id) && f.endedIn[end.Number] == f.lapses {
+		if end.Kind == specifier.EndDone && f.world.kept(id) && f.endedIn[end.Number] == f.lapses {
 			f.world.noted[end.Key.Task] = true
 		}
 	}
--- a/state/jobrecorder/recorder.go
+++ b/state/jobrecorder/recorder.go
@@ -83,7 +83,7 @@
 		return
 	}
 	record.State = specifier.JobRunning
-	switch end.How {
+	switch end.Kind {
 	case specifier.EndDone:
 		record.Done[end.Step][end.Index] = true
 		if record.remaining--; record.remaining == 0 {
@@ -101,7 +101,7 @@
 // maxAttempts returns after how many failed runs of one task a job of the queue fails. For a queue that was removed, it is
 // one.
 func (r *Recorder) maxAttempts(queue string) int {
-	settings, _ := r.manifest.Named(queue)
+	settings, _ := r.manifest.QueueByName(queue)
 	return max(settings.MaxAttempts, 1)
 }
 
--- a/state/registrar/decode.go
+++ b/state/registrar/decode.go
@@ -175,10 +175,10 @@
 		return errors.Newf("Answers: is %d of %d", answer, len(d.answers))
 	}
 	if owner > 0 {
-		record.owner = d.registrar.owners.Hold(d.owners[owner-1])
+		record.owner = d.registrar.owners.Acquire(d.owners[owner-1])
 	}
 	if answer > 0 {
-		record.answer = d.registrar.answers.Hold(d.answers[answer-1])
+		record.answer = d.registrar.answers.Acquire(d.answers[answer-1])
 	}
 	return nil
 }
--- a/state/registrar/submissions.go
+++ b/state/registrar/submissions.go
@@ -30,7 +30,7 @@
 		return specifier.Decision{Verdict: specifier.Full}
 	}
 	record.digest, record.acceptedIndex, record.phase = truncateDigest(c.Digest), r.index, owned
-	r.answers.Drop(record.answer)
+	r.answers.Release(record.answer)
 	record.answer, record.refusedUntil = 0, 0
 	record.epoch++
 	r.setOwner(&record, c.Owner)
@@ -84,9 +84,9 @@
 	}
 	record.phase = finished
 	if c.Answer.Outcome == specifier.NotRun && c.Answer.Reason != specifier.Cancelled {
-		record.phase, record.refusedUntil = refused, expiryTime(r.now.Add(specifier.RefusalHold))
+		record.phase, record.refusedUntil = refused, expiryTime(r.now.Add(specifier.RefusalRetention))
 	}
-	record.answer = r.answers.Hold(newAnswer(c.Answer))
+	record.answer = r.answers.Acquire(newAnswer(c.Answer))
 	r.submissions[c.Job] = record
 	return r.finishedDecision(record)
 }
@@ -123,10 +123,10 @@
 	case !ok && len(r.submissions) >= r.MaxSubmissions:
 		return specifier.Decision{Verdict: specifier.Full}
 	}
-	r.answers.Drop(record.answer)
-	record.answer = r.answers.Hold(newAnswer(c.Answer))
+	r.answers.Release(record.answer)
+	record.answer = r.answers.Acquire(newAnswer(c.Answer))
 	record.digest, record.phase = truncateDigest(c.Digest), refused
-	record.refusedUntil = expiryTime(r.now.Add(specifier.RefusalHold))
+	record.refusedUntil = expiryTime(r.now.Add(specifier.RefusalRetention))
 	if !ok {
 		record.acceptedIndex = r.index
 	}
@@ -152,8 +152,8 @@
 	case !ok && len(r.submissions) >= r.MaxSubmissions:
 		return specifier.Decision{Verdict: specifier.Full}
 	}
-	r.answers.Drop(record.answer)
-	record.answer = r.answers.Hold(newAnswer(specifier.Refuse(specifier.Cancelled, "cancelled before it was accepted")))
+	r.answers.Release(record.answer)
+	record.answer = r.answers.Acquire(newAnswer(specifier.Refuse(specifier.Cancelled, "cancelled before it was accepted")))
 	if record.epoch > 0 {
 		record.phase = finished
 		r.submissions[c.Job] = record
@@ -188,8 +188,8 @@
 
 func (r *Registrar) setOwner(record *submission, owner specifier.Identity) {
 	previous := record.owner
-	record.owner = r.owners.Hold(owner)
-	r.owners.Drop(previous)
+	record.owner = r.owners.Acquire(owner)
+	r.owners.Release(previous)
 }
 
 // retentionEnd returns the time until which a submission with the given time left is kept.
@@ -221,8 +221,8 @@
 		}
 		r.expiring.Pop()
 		if record, ok := r.submissions[next.job]; ok && record.keepUntil.reached(r.now) {
-			r.owners.Drop(record.owner)
-			r.answers.Drop(record.answer)
+			r.owners.Release(record.owner)
+			r.answers.Release(record.answer)
 			delete(r.submissions, next.job)
 		}
 	}
