--- a/core/specifier/answer.go
+++ b/core/specifier/answer.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Answer is the whole answer to one submission.
+// Answer is the complete answer to one submission.
 type Answer struct {
 	Outcome    Outcome
 	Reason     Reason        // empty when Complete
-	Detail     string        // for people, names the field or the task
+	Detail     string        // for people: names the field or the task
 	MayHaveRun bool          // only with Failed
-	RetryAfter time.Duration // only with NotRun; zero when a retry does not help
+	RetryAfter time.Duration // only with NotRun; 0 when a retry does not help
 	Results    []Result      // only with Complete, in the order of the job's tasks
 }
 
--- a/core/specifier/batch.go
+++ b/core/specifier/batch.go
@@ -3,15 +3,15 @@
 import "time"
 
 // Batch is the content of one log entry. Advance is the time that passed on the leader's clock
-// since its previous batch: the sum of all advances is the log's own clock, on which
-// retention is counted, so that clocks of different hosts are never compared.
+// since its previous batch. The sum of all advances is the log's clock, which measures retention,
+// so that clocks of different hosts are never compared.
 type Batch struct {
 	Advance  time.Duration
 	Commands []Command
-	// MaxSubmissions is the leader's bound on remembered submissions. It is part of the log because
-	// decisions depend on it: replicas with bounds of their own would decide differently. 0 leaves
-	// the former bound.
+	// MaxSubmissions is the leader's limit on remembered submissions. It is part of the log because
+	// decisions depend on it: replicas with different limits would decide differently. 0 keeps the
+	// previous limit.
 	MaxSubmissions int
-	// Queue holds changes of the queues.
+	// QueueCommands change the replicated state of the queues.
 	QueueCommands []QueueCommand
 }
--- a/core/specifier/changeconfiguration.go
+++ b/core/specifier/changeconfiguration.go
@@ -5,8 +5,8 @@
 	"maps"
 )
 
-// ChangeConfiguration replaces or removes profiles and teams, made from revision From. A
-// resend under the same RequestID gets the first decision again.
+// ChangeConfiguration sets or removes profiles and teams. The operator prepared the change on the
+// basis of revision From. A resend with the same RequestID gets the first decision again.
 type ChangeConfiguration struct {
 	RequestID      string
 	Operator       string
@@ -19,7 +19,7 @@
 
 func (ChangeConfiguration) command() {}
 
-// Digest identifies everything but the request id.
+// Digest identifies the content of the change, without the request ID.
 func (c ChangeConfiguration) Digest() Digest {
 	h := newHasher()
 	h.field([]byte(c.Operator))
@@ -42,29 +42,29 @@
 	return h.sum()
 }
 
-// Check returns every problem of the change when it is applied to the configuration in force, or nil.
-func (c ChangeConfiguration) Check(in Configuration) *Problems {
+// Check returns every problem of applying the change to the current configuration, or nil.
+func (c ChangeConfiguration) Check(current Configuration) *Problems {
 	found := &Problems{}
 	found.Name("RequestId", c.RequestID)
 	found.Name("Operator", c.Operator)
 	if len(c.Profiles)+len(c.Teams)+len(c.RemoveProfiles)+len(c.RemoveTeams) == 0 {
 		found.Add("Profiles", "nor Teams, RemoveProfiles or RemoveTeams name anything, expected a change")
 	}
-	profiles := named(found, "Profiles", c.Profiles, func(p Profile) string { return p.Name })
-	removed(found, "RemoveProfiles", c.RemoveProfiles, profiles, in.Profiles)
-	teams := named(found, "Teams", c.Teams, func(t Team) string { return t.Name })
-	removed(found, "RemoveTeams", c.RemoveTeams, teams, in.Teams)
-	next := c.Apply(in)
-	between(found, "Profiles", len(next.Profiles), 0, MaxProfiles)
-	between(found, "Teams", len(next.Teams), 0, MaxTeams)
+	profiles := checkItems(found, "Profiles", c.Profiles, func(p Profile) string { return p.Name })
+	checkRemovals(found, "RemoveProfiles", c.RemoveProfiles, profiles, current.Profiles)
+	teams := checkItems(found, "Teams", c.Teams, func(t Team) string { return t.Name })
+	checkRemovals(found, "RemoveTeams", c.RemoveTeams, teams, current.Teams)
+	next := c.Apply(current)
+	checkRange(found, "Profiles", len(next.Profiles), 0, MaxProfiles)
+	checkRange(found, "Teams", len(next.Teams), 0, MaxTeams)
 	return found.OrNil()
 }
 
-// Apply returns the next configuration and leaves the given one as it is. The change must have passed Check.
-func (c ChangeConfiguration) Apply(in Configuration) Configuration {
-	next := Configuration{Revision: in.Revision + 1, Profiles: make(map[string]Profile), Teams: make(map[string]Team)}
-	maps.Copy(next.Profiles, in.Profiles)
-	maps.Copy(next.Teams, in.Teams)
+// Apply returns the next configuration and does not modify current. The change must have passed Check.
+func (c ChangeConfiguration) Apply(current Configuration) Configuration {
+	next := Configuration{Revision: current.Revision + 1, Profiles: make(map[string]Profile), Teams: make(map[string]Team)}
+	maps.Copy(next.Profiles, current.Profiles)
+	maps.Copy(next.Teams, current.Teams)
 	for _, profile := range c.Profiles {
 		next.Profiles[profile.Name] = profile
 	}
@@ -80,8 +80,8 @@
 	return next
 }
 
-// named checks the items of a list and returns their names.
-func named[T interface{ Check() *Problems }](found *Problems, field string, items []T, name func(T) string) map[string]bool {
+// checkItems checks the items of a list and returns their names.
+func checkItems[T interface{ Check() *Problems }](found *Problems, field string, items []T, name func(T) string) map[string]bool {
 	names := make(map[string]bool, len(items))
 	for i, item := range items {
 		found.Merge(indexed(field, i), item.Check())
@@ -93,12 +93,12 @@
 	return names
 }
 
-// removed checks that each name exists and is neither set nor removed again by the same change.
-func removed[T any](found *Problems, field string, names []string, set map[string]bool, in map[string]T) {
+// checkRemovals checks that each name exists and that the change neither sets it nor removes it twice.
+func checkRemovals[T any](found *Problems, field string, names []string, set map[string]bool, current map[string]T) {
 	seen := make(map[string]bool, len(names))
 	for i, name := range names {
 		path := indexed(field, i)
-		if _, known := in[name]; !known {
+		if _, exists := current[name]; !exists {
 			found.Add(path, "%.64q does not exist", name)
 		}
 		if set[name] || seen[name] {
--- a/core/specifier/check_test.go
+++ b/core/specifier/check_test.go
@@ -35,16 +35,17 @@
 	}
 }
 
-// Guards against a change that is half valid, or whose result depends on the order of its parts.
+// Guards against a change that is accepted although one of its parts is invalid, and against a change whose
+// result depends on the order of its parts.
 func TestChangeCheck(t *testing.T) {
-	in := Configuration{Revision: 3, Profiles: map[string]Profile{"a": {Name: "a", Service: "s"}}}
+	current := Configuration{Revision: 3, Profiles: map[string]Profile{"a": {Name: "a", Service: "s"}}}
 	valid := ChangeConfiguration{RequestID: "r", Operator: "o", Profiles: []Profile{{Name: "b", Service: "s"}}, RemoveProfiles: []string{"a"}}
-	must.Nil(t, valid.Check(in))
-	next := valid.Apply(in)
+	must.Nil(t, valid.Check(current))
+	next := valid.Apply(current)
 	must.Eq(t, Revision(4), next.Revision)
 	must.MapContainsKey(t, next.Profiles, "b")
 	must.MapNotContainsKey(t, next.Profiles, "a")
-	must.MapContainsKey(t, in.Profiles, "a")
+	must.MapContainsKey(t, current.Profiles, "a")
 	for name, test := range map[string]struct {
 		change func(*ChangeConfiguration)
 		fields []string
@@ -60,7 +61,7 @@
 			c := valid
 			c.Profiles = append([]Profile(nil), valid.Profiles...)
 			test.change(&c)
-			mustReport(t, c.Check(in), test.fields...)
+			mustReport(t, c.Check(current), test.fields...)
 			must.NotEq(t, valid.Digest(), c.Digest())
 		})
 	}
--- a/core/specifier/decision.go
+++ b/core/specifier/decision.go
@@ -2,8 +2,8 @@
 
 import "net/netip"
 
-// Decision is the controllers' answer to a command. Only the fields that its verdict
-// mentions are set.
+// Decision is the controllers' answer to a command. Each comment names the verdicts with which
+// the field is set.
 type Decision struct {
 	Verdict   Verdict
 	Owner     Identity // Attached
@@ -13,10 +13,10 @@
 	Revision  Revision   // of the configuration in force
 	Answer    Answer     // Finished, without results
 	Departed  []Identity // Accepted after TakeOverJob: agents that went Down since the job was accepted
-	// MemberVersion counts the changes of the membership. Whoever takes a job over must know
-	// the members of this version, or an agent that runs a task could be missed.
+	// MemberVersion counts the changes of the membership. An entry that takes a job over must know
+	// the members of this version: otherwise it could miss an agent that runs a task of the job.
 	MemberVersion uint64
-	Operator      string // Conflict: who made the change that won
+	Operator      string // Conflict: the operator who made the change that was accepted instead
 	Detail        string
-	Leader        netip.AddrPort // NotLeader: zero when there is none
+	Leader        netip.AddrPort // NotLeader: zero when there is no leader
 }
--- a/core/specifier/digest.go
+++ b/core/specifier/digest.go
@@ -1,7 +1,7 @@
 package specifier
 
-// Digest identifies the content of a submission: team, profile and tasks. It leaves the
-// time left out, because a caller that resubmits has less of it.
+// Digest identifies the content of a submission: team, profile and tasks. It does not include the
+// time left, which is shorter when a caller resubmits.
 type Digest [32]byte
 
 // NewDigest returns the digest of job.
--- a/core/specifier/doc.go
+++ b/core/specifier/doc.go
@@ -1,3 +1,3 @@
 // Package specifier holds the types that describe work, members and configuration. Every
-// process uses them; none of them knows how it is encoded.
+// process uses them. They do not depend on the encoding of messages.
 package specifier
--- a/core/specifier/endkind.go
+++ b/core/specifier/endkind.go
@@ -3,21 +3,21 @@
 // EndKind is how a run ended.
 type EndKind uint8
 
-// The ways in which a run ends. The last ones are those of a start that was refused.
+// The kinds of ends. EndRefusedFence and the later ones are of starts that did not lead to a run.
 const (
 	EndDone EndKind = iota
 	EndFailed
 	EndStopped
 	EndLeaseExpired     // its lease expired
 	EndGroupMemberEnded // another member of its group ended
-	EndGroupIncomplete  // the other members of its group did not come
-	EndRefusedFence
-	EndRefusedStaleRun
-	EndRefusedLate
-	EndRefusedResources
-	EndRefusedUnhealthy // the worker says that it is not well, and did nothing
+	EndGroupIncomplete  // the other members of its group did not arrive
+	EndRefusedFence     // the worker has received a higher fencing token
+	EndRefusedStaleRun  // the worker has already started this run or a later one of the task
+	EndRefusedLate      // the lease in the start had already expired
+	EndRefusedResources // the worker has too few free resources
+	EndRefusedUnhealthy // the worker reports itself unhealthy and did not start the run
 	EndRefusedOther
-	EndUnanswered // the start had no answer, and can no longer happen
+	EndUnanswered // the start was not answered and can no longer happen
 )
 
 var endNames = [...]string{"Done", "Failed", "Stopped", "Lapsed", "Broken", "Alone", "RefusedFence", "RefusedOld", "RefusedLate",
--- a/core/specifier/endmember.go
+++ b/core/specifier/endmember.go
@@ -1,6 +1,6 @@
 package specifier
 
-// EndMember records that an incarnation is Down: its lease ended, or it left.
+// EndMember records that an incarnation is Down: its lease expired, or it departed.
 type EndMember struct {
 	Identity Identity
 }
--- a/core/specifier/finishjob.go
+++ b/core/specifier/finishjob.go
@@ -5,7 +5,7 @@
 	Job    JobID
 	Owner  Identity
 	Epoch  Epoch
-	Answer Answer // without Results: agents hold those
+	Answer Answer // without Results, which are stored at the agents
 }
 
 func (FinishJob) command() {}
--- a/core/specifier/hasher.go
+++ b/core/specifier/hasher.go
@@ -6,7 +6,7 @@
 	"hash"
 )
 
-// hasher sums fields with their lengths, so that no two sequences of fields give the same bytes.
+// hasher hashes each field with its length, so that two different sequences of fields never hash the same bytes.
 type hasher struct {
 	hash hash.Hash
 }
--- a/core/specifier/identity.go
+++ b/core/specifier/identity.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Identity names one run of one process.
+// Identity names one incarnation of a process.
 type Identity struct {
 	Name        string
 	Incarnation Incarnation
--- a/core/specifier/incarnation.go
+++ b/core/specifier/incarnation.go
@@ -1,5 +1,5 @@
 package specifier
 
-// Incarnation tells two runs of one process apart. It is random, so that a host whose clock
-// went back cannot reuse one.
+// Incarnation distinguishes the runs of one process. It is random, so that a host whose clock
+// was set back cannot reuse one.
 type Incarnation uint64
--- a/core/specifier/leasedworker.go
+++ b/core/specifier/leasedworker.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// LeasedWorker is one life of a worker that runs tasks under leases.
+// LeasedWorker is one incarnation of a worker that runs tasks under leases.
 type LeasedWorker struct {
 	ID        string
-	StartedAt time.Time // start of the life, which tells two lives of one ID apart
+	StartedAt time.Time // distinguishes the incarnations of one ID
 	Pool      string
 	Capacity  Resources
 	Labels    []string
--- a/core/specifier/leaseorder.go
+++ b/core/specifier/leaseorder.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// LeaseOrder is what the leading controller tells an agent.
+// LeaseOrder is a message from the leading controller to an agent.
 type LeaseOrder struct {
 	Token                   uint64 // fencing token of the leading controller for this agent
-	GrantedRenewal          uint64 // the renewal that is granted
-	OrderCount              uint64 // how many orders with starts or stops were sent, this one included
+	GrantedRenewal          uint64 // number of the renewal that is granted
+	OrderCount              uint64 // number of orders with starts or stops sent so far, including this one
 	Starts                  []RunStart
 	Stops                   []RunKey
-	AcknowledgedEnd         uint64 // ends up to this number need not be reported again
-	AcknowledgedWorkerStart time.Time
+	AcknowledgedEnd         uint64    // ends up to this number need not be reported again
+	AcknowledgedWorkerStart time.Time // StartedAt of the worker incarnation whose ends are acknowledged
 }
--- a/core/specifier/leasereport.go
+++ b/core/specifier/leasereport.go
@@ -1,16 +1,16 @@
 package specifier
 
-// LeaseReport is what an agent tells the leading controller. Fields that did not change are zero.
+// LeaseReport is a message from an agent to the leading controller. Fields that did not change are zero.
 type LeaseReport struct {
 	Agent         string
 	Incarnation   Incarnation // of the agent's process
-	Renewal       uint64      // asks for a grant; 0 for none
-	LastOrder     uint64      // number of the last order that the report covers
-	AllRunsKnown  bool        // nothing that is not listed runs, and no start with an earlier token can still happen
-	Token         uint64      // highest fencing token that the agent was told
-	Leaving       bool        // the agent stops
+	Renewal       uint64      // number of the request for a grant; 0 for none
+	LastOrder     uint64      // OrderCount of the last order that the report covers
+	AllRunsKnown  bool        // no unlisted run exists at the worker, and no start with an earlier token can still happen
+	Token         uint64      // highest fencing token that the agent has received
+	Leaving       bool        // the agent is stopping
 	Worker        *LeasedWorker
-	RunsComplete  bool // Runs is the whole list
+	RunsComplete  bool // Runs is the complete list
 	Runs          []LeasedRun
 	Ends          []RunEnd
 	RefusedStarts []RunEnd // starts that did not happen
--- a/core/specifier/memberstate.go
+++ b/core/specifier/memberstate.go
@@ -6,6 +6,6 @@
 // The states of a member.
 const (
 	Up       MemberState = "Up"
-	Draining MemberState = "Draining" // finishes what it has, takes nothing new
-	Down     MemberState = "Down"     // its lease ended or a newer incarnation replaced it
+	Draining MemberState = "Draining" // finishes its tasks and accepts no new ones
+	Down     MemberState = "Down"     // its lease expired, it departed, or a newer incarnation replaced it
 )
--- a/core/specifier/problems.go
+++ b/core/specifier/problems.go
@@ -22,7 +22,7 @@
 }
 
 // Merge adds the problems of a part of the input, under the path of that part; an empty path
-// adds them as they are.
+// adds them unchanged.
 func (p *Problems) Merge(path string, part *Problems) {
 	if part == nil {
 		return
@@ -59,8 +59,8 @@
 	}
 }
 
-// between refuses NaN too, because every comparison with it is false.
-func between[T cmp.Ordered](p *Problems, field string, value, low, high T) {
+// checkRange records a value that is not from low to high. NaN is recorded too, because every comparison with it is false.
+func checkRange[T cmp.Ordered](p *Problems, field string, value, low, high T) {
 	if !(value >= low && value <= high) {
 		p.Add(field, "is %v, expected %v to %v", value, low, high)
 	}
--- a/core/specifier/profile.go
+++ b/core/specifier/profile.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Profile says how a kind of work is treated. The zero value of a field that has a default
+// Profile configures how jobs of one kind are run. The zero value of a field that has a default
 // means that default.
 type Profile struct {
 	Name         string        `yaml:"Name"`
@@ -10,10 +10,10 @@
 	Repeatable   bool          `yaml:"Repeatable"`   // a task may run again once its first run is proved lost
 	MaxTimeLeft  time.Duration `yaml:"MaxTimeLeft"`  // longest deadline accepted; default MaxTimeLeft
 	TypicalTime  time.Duration `yaml:"TypicalTime"`  // expected run time of a task until it has been learned
-	QueueBound   int           `yaml:"QueueBound"`   // tasks that wait at one entry before refusal; default 10,000
+	QueueBound   int           `yaml:"QueueBound"`   // tasks that may wait at one entry before jobs are refused; default 10,000
 	RetryBudget  float64       `yaml:"RetryBudget"`  // retries for each first attempt; default 0.1
 	Priority     int           `yaml:"Priority"`     // 0 to 9; each step counts as 100 ms earlier arrival
-	LongShare    float64       `yaml:"LongShare"`    // share of a worker's slots that long tasks may hold; default 0.5
+	LongShare    float64       `yaml:"LongShare"`    // share of a worker's slots that long tasks may occupy; default 0.5
 	BreakerAfter int           `yaml:"BreakerAfter"` // consecutive failures that eject a worker; default 5
 }
 
@@ -29,12 +29,12 @@
 	found := &Problems{}
 	found.Name("Name", p.Name)
 	found.Name("Service", p.Service)
-	between(found, "MaxTimeLeft", p.MaxTimeLeft, 0, MaxTimeLeft)
-	between(found, "TypicalTime", p.TypicalTime, 0, MaxTimeLeft)
-	between(found, "QueueBound", p.QueueBound, 0, maxQueueBound)
-	between(found, "RetryBudget", p.RetryBudget, 0, maxRetryBudget)
-	between(found, "Priority", p.Priority, 0, maxPriority)
-	between(found, "LongShare", p.LongShare, 0, 1)
-	between(found, "BreakerAfter", p.BreakerAfter, 0, maxBreakerAfter)
+	checkRange(found, "MaxTimeLeft", p.MaxTimeLeft, 0, MaxTimeLeft)
+	checkRange(found, "TypicalTime", p.TypicalTime, 0, MaxTimeLeft)
+	checkRange(found, "QueueBound", p.QueueBound, 0, maxQueueBound)
+	checkRange(found, "RetryBudget", p.RetryBudget, 0, maxRetryBudget)
+	checkRange(found, "Priority", p.Priority, 0, maxPriority)
+	checkRange(found, "LongShare", p.LongShare, 0, 1)
+	checkRange(found, "BreakerAfter", p.BreakerAfter, 0, maxBreakerAfter)
 	return found.OrNil()
 }
--- a/core/specifier/queue.go
+++ b/core/specifier/queue.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Queue is where callers hand in jobs of one kind.
+// Queue accepts the jobs of one kind and defines how they are run.
 type Queue struct {
 	Name        string
 	Host        string
-	Prefix      string // of the path; the rest of the path is the job's ID
-	Pool        string // of the workers that run its tasks
-	Priority    int    // 0 comes first
-	MaxAttempts int    // runs of a task that may fail before the job has failed
-	Stretch     float64
-	Target      time.Duration // with Stretch times the ideal run time: when a job should have ended
+	Prefix      string        // of the path; the rest of the path is the job's ID
+	Pool        string        // of the workers that run its tasks
+	Priority    int           // 0 comes first
+	MaxAttempts int           // runs of a task that may fail before the job has failed
+	Stretch     float64       // factor of the ideal run time in the objective
+	Target      time.Duration // fixed part of the objective
 }
 
 // Objective returns the time within which a job of the given ideal run time should end.
--- a/core/specifier/queuedjob.go
+++ b/core/specifier/queuedjob.go
@@ -13,17 +13,17 @@
 	MaxQueuedID      = 64       // bytes
 )
 
-// QueuedJob is work that a caller hands to a queue. One that is not transient is recorded before it is
-// accepted, and is finished without its caller.
+// QueuedJob is a job that a caller submits to a queue. A job that is not transient is recorded before it
+// is accepted, and is finished even when its caller has disconnected.
 type QueuedJob struct {
 	ID        string // unique among all queues
 	Queue     string // name
-	Content   string // handed to every task
+	Content   string // passed to every task
 	Steps     []Step
-	Transient bool // answered when it has ended; lost with the leading controller
+	Transient bool // the caller is answered when the job has ended; the job is lost with the leading controller
 }
 
-// Tasks returns the number of tasks.
+// TaskCount returns the number of tasks.
 func (j QueuedJob) TaskCount() int {
 	total := 0
 	for _, step := range j.Steps {
@@ -32,7 +32,7 @@
 	return total
 }
 
-// Ideal returns the run time of the longest chain of steps, by their estimates.
+// IdealRunTime returns the run time of the longest chain of steps, by their estimates.
 func (j QueuedJob) IdealRunTime() time.Duration {
 	var longest time.Duration
 	chains := make([]time.Duration, len(j.Steps))
@@ -46,29 +46,29 @@
 	return longest
 }
 
-// Check returns what is wrong with the job.
+// Check returns every problem of the job's fields, or nil.
 func (j QueuedJob) Check() *Problems {
 	p := &Problems{}
-	between(p, "ID", len(j.ID), 1, MaxQueuedID)
-	between(p, "Content", len(j.Content), 0, MaxQueuedContent)
-	between(p, "Steps", len(j.Steps), 1, MaxQueuedSteps)
+	checkRange(p, "ID", len(j.ID), 1, MaxQueuedID)
+	checkRange(p, "Content", len(j.Content), 0, MaxQueuedContent)
+	checkRange(p, "Steps", len(j.Steps), 1, MaxQueuedSteps)
 	if len(j.Steps) > MaxQueuedSteps {
 		return p
 	}
 	for i, step := range j.Steps {
 		field := indexed("Steps", i)
-		between(p, field+".Count", step.Count, 1, MaxQueuedTasks)
-		between(p, field+".Room.MilliCores", step.Resources.MilliCores, 0, 1<<30)
-		between(p, field+".Room.Memory", step.Resources.Memory, 0, 1<<30)
-		between(p, field+".Room.Accelerators", step.Resources.Accelerators, 0, 1<<30)
-		between(p, field+".PerWorker", step.PerWorker, 0, MaxQueuedTasks)
-		between(p, field+".Estimate", step.Estimate, 0, MaxAdvance)
+		checkRange(p, field+".Count", step.Count, 1, MaxQueuedTasks)
+		checkRange(p, field+".Room.MilliCores", step.Resources.MilliCores, 0, 1<<30)
+		checkRange(p, field+".Room.Memory", step.Resources.Memory, 0, 1<<30)
+		checkRange(p, field+".Room.Accelerators", step.Resources.Accelerators, 0, 1<<30)
+		checkRange(p, field+".PerWorker", step.PerWorker, 0, MaxQueuedTasks)
+		checkRange(p, field+".Estimate", step.Estimate, 0, MaxAdvance)
 		if slices.ContainsFunc(step.After, func(before int) bool { return before < 0 || before >= i }) {
 			p.Add(field+".After", "names a step that is not an earlier one")
 		}
 	}
 	if p.OrNil() == nil {
-		between(p, "Steps", j.TaskCount(), 1, MaxQueuedTasks)
+		checkRange(p, "Steps", j.TaskCount(), 1, MaxQueuedTasks)
 	}
 	return p.OrNil()
 }
--- a/core/specifier/queuereply.go
+++ b/core/specifier/queuereply.go
@@ -7,8 +7,8 @@
 	Result     QueueResult
 	State      QueueState
 	Pending    int
-	HasPending bool          // Pending is the answer
-	RetryAfter time.Duration // with Refused: when to come back
+	HasPending bool          // the call asked for Pending
+	RetryAfter time.Duration // with QueueRefused: when to try again
 	Document   []byte        // of the manifest in force
 	Detail     string        // for people
 }
--- a/core/specifier/queueresult.go
+++ b/core/specifier/queueresult.go
@@ -10,6 +10,6 @@
 	QueueNotFound             // there is no such queue
 	JobNotFound               // there is no such job
 	QueueInvalid
-	QueueUnavailable // the controller can't tell now
-	QueueExpired     // the job was given up; it may have run in part
+	QueueUnavailable // the controller cannot answer now
+	QueueExpired     // the job was abandoned; parts of it may have run
 )
--- a/core/specifier/queuestate.go
+++ b/core/specifier/queuestate.go
@@ -1,6 +1,6 @@
 package specifier
 
-// QueueState is how far a queued job is.
+// QueueState is the progress of a queued job.
 type QueueState uint8
 
 // The states of a queued job.
--- a/core/specifier/queueverb.go
+++ b/core/specifier/queueverb.go
@@ -10,5 +10,5 @@
 	CancelQueued
 	PutManifest
 	GetManifest
-	AbandonQueued // the caller of a transient job is gone
+	AbandonQueued // the caller of a transient job has disconnected
 )
--- a/core/specifier/reason.go
+++ b/core/specifier/reason.go
@@ -10,7 +10,7 @@
 	UnknownProfile Reason = "UnknownProfile" // no such profile in the configuration in force
 	UnknownTeam    Reason = "UnknownTeam"    // no such team in the configuration in force
 	KeyReused      Reason = "KeyReused"      // the key was used with another body
-	KeyExpired     Reason = "KeyExpired"     // the key's answer is no longer held
+	KeyExpired     Reason = "KeyExpired"     // the key's answer is no longer stored
 	DeadlinePast   Reason = "DeadlinePast"   // the deadline passed before a task started
 	NoWorker       Reason = "NoWorker"       // no worker serves this profile
 	Overloaded     Reason = "Overloaded"     // could not finish before the deadline
@@ -19,10 +19,10 @@
 	Stopping       Reason = "Stopping"       // this process is shutting down
 	Cancelled      Reason = "Cancelled"      // the caller cancelled the job
 	TimedOut       Reason = "TimedOut"       // the deadline passed after a task started
-	StillRunning   Reason = "StillRunning"   // the job goes on past this caller's deadline
+	StillRunning   Reason = "StillRunning"   // the job continues after this caller's deadline
 	TaskFailed     Reason = "TaskFailed"     // the upstream reported a failure
 	WorkerLost     Reason = "WorkerLost"     // a worker died with a task whose state is unknown
 	OwnerLost      Reason = "OwnerLost"      // the entry that ran the job was lost with a worker; the job may have completed
-	ResultsLost    Reason = "ResultsLost"    // the job completed, but its results are no longer held
+	ResultsLost    Reason = "ResultsLost"    // the job completed, but its results are no longer stored
 	Superseded     Reason = "Superseded"     // another entry took the job over
 )
--- a/core/specifier/refusejob.go
+++ b/core/specifier/refusejob.go
@@ -1,13 +1,13 @@
 package specifier
 
-// RefuseJob records that an entry refuses a submission that is not recorded. An earlier
-// submission under the same key may have run, and another copy may be on its way through another
-// entry: the decision tells of the first, and the record answers the second the same way for
-// RefusalHold. Without it a NotRun answer could be false.
+// RefuseJob records that an entry refuses a submission that has no record. An earlier submission
+// under the same key may have run, and another copy may be in flight through another entry. The
+// decision reports the earlier submission, and the record gives the copy the same answer for
+// RefusalRetention. Without the record a NotRun answer could be false.
 type RefuseJob struct {
 	Job      JobID
 	Digest   Digest
-	Revision Revision // of the configuration that the refusal rests on
+	Revision Revision // of the configuration that the refusal is based on
 	Answer   Answer   // NotRun
 }
 
--- a/core/specifier/runend.go
+++ b/core/specifier/runend.go
@@ -2,8 +2,8 @@
 
 // RunEnd says how a run of a task ended.
 type RunEnd struct {
-	Number     uint64 // of the end in the worker's life, from 1; 0 when the worker did not list it
+	Number     uint64 // of the end in the worker's incarnation, from 1; 0 when the worker did not list the end
 	Key        RunKey
 	Kind       EndKind
-	Checkpoint string // checkpoint
+	Checkpoint string
 }
--- a/core/specifier/serviceshare.go
+++ b/core/specifier/serviceshare.go
@@ -1,6 +1,6 @@
 package specifier
 
-// ServiceShare is the slots of one service that teams need, or may count on, at one entry.
+// ServiceShare lists the slots of one service that teams need, or are granted, at one entry.
 type ServiceShare struct {
 	Service   string
 	Contended bool        // all entries together need more slots than there are
--- a/core/specifier/step.go
+++ b/core/specifier/step.go
@@ -7,10 +7,10 @@
 	Count       int
 	Resources   Resources     // of each task
 	Estimate    time.Duration // declared run time of a task; rough
-	After       []int         // earlier steps whose tasks must all be done first
-	Checkpoints bool
-	Label       string // that the worker must have; empty for any
-	DataRack    string // where the data is; tasks run elsewhere too, but slower
-	PerWorker   int    // most tasks of the step on one worker; 0 for no limit
-	Speculative bool   // copies may run at the same time
+	After       []int         // indexes of earlier steps whose tasks must all be done first
+	Checkpoints bool          // tasks save checkpoints
+	Label       string        // that the worker must have; empty for any
+	DataRack    string        // location of the data; tasks run slower elsewhere
+	PerWorker   int           // limit of tasks of the step on one worker; 0 for no limit
+	Speculative bool          // copies of a task may run at the same time
 }
--- a/core/specifier/takeoverjob.go
+++ b/core/specifier/takeoverjob.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// TakeOverJob asks that Owner replaces the owner of epoch Replaces, which must be recorded as Down.
-// A job that was released is accepted anew. A resend gets Accepted with the agents that departed until then.
+// TakeOverJob proposes that Owner replaces the owner of epoch Replaces, which must be recorded as Down.
+// A released job is accepted like a new one. A resend gets Accepted with the agents that have departed by then.
 type TakeOverJob struct {
 	Job      JobID
 	Digest   Digest
--- a/core/specifier/taskend.go
+++ b/core/specifier/taskend.go
@@ -1,6 +1,6 @@
 package specifier
 
-// TaskEnd is an end that counts for a recorded job: EndDone or EndFailed.
+// TaskEnd is the end of a run that changes the record of a job: EndDone or EndFailed.
 type TaskEnd struct {
 	Job   string
 	Step  int
--- a/core/specifier/taskreport.go
+++ b/core/specifier/taskreport.go
@@ -4,6 +4,6 @@
 type TaskReport struct {
 	Task   string
 	State  TaskState
-	Body   []byte // Ended
-	Detail string // Broken
+	Body   []byte // with TaskEnded
+	Detail string // with TaskBroken
 }
--- a/core/specifier/team.go
+++ b/core/specifier/team.go
@@ -13,6 +13,6 @@
 func (t Team) Check() *Problems {
 	found := &Problems{}
 	found.Name("Name", t.Name)
-	between(found, "Share", t.Share, 0, maxShare)
+	checkRange(found, "Share", t.Share, 0, maxShare)
 	return found.OrNil()
 }
