--- a/core/encoder/acceptjob.go
+++ b/core/encoder/acceptjob.go
@@ -14,6 +14,6 @@
 		Owner:     c.identity("AcceptJob.Owner", m.GetOwner()),
 		TaskCount: c.count("AcceptJob.TaskCount", m.GetTaskCount(), 1, specifier.MaxTasks),
 		Revision:  specifier.Revision(m.GetRevision()),
-		TimeLeft:  c.span("AcceptJob.TimeLeft", m.GetTimeLeft(), 0, specifier.MaxTimeLeft),
+		TimeLeft:  c.duration("AcceptJob.TimeLeft", m.GetTimeLeft(), 0, specifier.MaxTimeLeft),
 	}
 }
--- a/core/encoder/answer.go
+++ b/core/encoder/answer.go
@@ -2,12 +2,12 @@
 
 import "oleandertally/core/specifier"
 
-// EncodeAnswer cuts Detail to MaxDetail bytes and returns nil for an answer without an outcome.
+// EncodeAnswer truncates Detail to MaxDetail bytes and returns nil for an answer without an outcome.
 func EncodeAnswer(a specifier.Answer) *Answer {
 	if a.Outcome == "" {
 		return nil
 	}
-	m := &Answer{Outcome: string(a.Outcome), Reason: string(a.Reason), Detail: clean(a.Detail, specifier.MaxDetail),
+	m := &Answer{Outcome: string(a.Outcome), Reason: string(a.Reason), Detail: sanitize(a.Detail, specifier.MaxDetail),
 		MayHaveRun: a.MayHaveRun, RetryAfter: int64(a.RetryAfter)}
 	for _, result := range a.Results {
 		m.Results = append(m.Results, EncodeResult(result))
@@ -23,15 +23,15 @@
 }
 
 func (c *checker) answer(path string, m *Answer) specifier.Answer {
-	if !c.need(path, m != nil) {
+	if !c.require(path, m != nil) {
 		return specifier.Answer{}
 	}
 	answer := specifier.Answer{
-		Outcome:    known(c, path+".Outcome", m.Outcome, specifier.Complete, specifier.Failed, specifier.NotRun),
+		Outcome:    oneOf(c, path+".Outcome", m.Outcome, specifier.Complete, specifier.Failed, specifier.NotRun),
 		Reason:     specifier.Reason(c.text(path+".Reason", m.Reason, specifier.MaxName)),
 		Detail:     c.text(path+".Detail", m.Detail, specifier.MaxDetail),
 		MayHaveRun: m.MayHaveRun,
-		RetryAfter: c.span(path+".RetryAfter", m.RetryAfter, 0, specifier.MaxTimeLeft),
+		RetryAfter: c.duration(path+".RetryAfter", m.RetryAfter, 0, specifier.MaxTimeLeft),
 	}
 	if m.MayHaveRun && m.Outcome != string(specifier.Failed) {
 		c.problems.Add(path+".MayHaveRun", "is set with %s, expected only with Failed", quoted(m.Outcome))
--- a/core/encoder/batch.go
+++ b/core/encoder/batch.go
@@ -18,10 +18,10 @@
 	return m
 }
 
-// DecodeBatch accepts at most MaxBatch commands. Errors name the command by its position.
+// DecodeBatch accepts at most MaxBatch commands. Errors give the position of a faulty command.
 func DecodeBatch(m *LogBatch) (specifier.Batch, error) {
 	c := &checker{}
-	batch := specifier.Batch{Advance: c.span("LogBatch.Advance", m.GetAdvance(), 0, specifier.MaxAdvance), MaxSubmissions: int(m.GetMaxSubmissions())}
+	batch := specifier.Batch{Advance: c.duration("LogBatch.Advance", m.GetAdvance(), 0, specifier.MaxAdvance), MaxSubmissions: int(m.GetMaxSubmissions())}
 	if batch.MaxSubmissions > specifier.MaxSubmissions {
 		c.problems.Add("LogBatch.MaxSubmissions", "is %d, expected at most %d", batch.MaxSubmissions, specifier.MaxSubmissions)
 	}
@@ -43,7 +43,7 @@
 	return batch, nil
 }
 
-// item prefixes the problems of one command with its path.
+// item decodes one command and prefixes its problems with path.
 func (c *checker) item(path string, m *Command) specifier.Command {
 	inner := &checker{}
 	command := inner.command("Command", m)
--- a/core/encoder/changeconfiguration.go
+++ b/core/encoder/changeconfiguration.go
@@ -14,7 +14,7 @@
 	return m
 }
 
-// changeConfiguration bounds sizes only. The registrar checks the values and reports every
+// changeConfiguration checks only sizes. The registrar checks the values and reports every
 // problem in its decision, which a resend gets again.
 func (c *checker) changeConfiguration(m *ChangeConfiguration) specifier.ChangeConfiguration {
 	command := specifier.ChangeConfiguration{
--- a/core/encoder/checker.go
+++ b/core/encoder/checker.go
@@ -8,8 +8,8 @@
 	"oleandertally/core/specifier"
 )
 
-// checker converts the fields of one message and collects what is wrong with them. Paths name
-// a field from the outermost message on, such as "AcceptJob.Owner.Name".
+// checker converts the fields of one message and collects their problems. A path names a field
+// from the outermost message on, such as "AcceptJob.Owner.Name".
 type checker struct {
 	problems specifier.Problems
 }
@@ -22,8 +22,8 @@
 	return nil
 }
 
-// need reports whether a message field is set.
-func (c *checker) need(path string, set bool) bool {
+// require records a message field that is not set, and reports whether it is set.
+func (c *checker) require(path string, set bool) bool {
 	if !set {
 		c.problems.Add(path, "is missing")
 	}
@@ -68,8 +68,8 @@
 	copy(target, raw)
 }
 
-// span accepts a duration in nanoseconds from low to high.
-func (c *checker) span(path string, nanoseconds int64, low, high time.Duration) time.Duration {
+// duration accepts a number of nanoseconds from low to high.
+func (c *checker) duration(path string, nanoseconds int64, low, high time.Duration) time.Duration {
 	span := time.Duration(nanoseconds)
 	if span < low || span > high {
 		c.problems.Add(path, "is %v, expected %v to %v", span, low, high)
@@ -87,7 +87,7 @@
 	return int(number)
 }
 
-// length reports whether a list has at most limit items, so that a longer one is not converted.
+// length reports whether a list has at most limit items. A longer list must not be converted.
 func (c *checker) length(path string, items, limit int) bool {
 	if items > limit {
 		c.problems.Add(path, "has %d items, expected at most %d", items, limit)
@@ -96,7 +96,7 @@
 	return true
 }
 
-// epoch accepts what the registrar assigns, from 1.
+// epoch accepts the epochs that the registrar assigns, which start at 1.
 func (c *checker) epoch(path string, number uint64) specifier.Epoch {
 	if number == 0 {
 		c.problems.Add(path, "is 0, expected at least 1")
@@ -114,7 +114,7 @@
 	return addr
 }
 
-// optionalAddr accepts the empty text as the zero address.
+// optionalAddr converts the empty text to the zero address.
 func (c *checker) optionalAddr(path, text string) netip.AddrPort {
 	if text == "" {
 		return netip.AddrPort{}
@@ -122,8 +122,8 @@
 	return c.addr(path, text)
 }
 
-// known accepts one of the allowed values of a text type.
-func known[T ~string](c *checker, path, text string, allowed ...T) T {
+// oneOf accepts one of the allowed values of a string type.
+func oneOf[T ~string](c *checker, path, text string, allowed ...T) T {
 	for _, value := range allowed {
 		if string(value) == text {
 			return value
@@ -133,7 +133,7 @@
 	return ""
 }
 
-// quoted bounds how much of a hostile value an error repeats.
+// quoted returns the quoted text, shortened so that an error does not repeat a long hostile value.
 func quoted(text string) string {
 	const limit = 64
 	if len(text) > limit {
--- a/core/encoder/command_test.go
+++ b/core/encoder/command_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// Guards against a field that one direction of the conversion forgets.
+// Guards against a field that one direction of the conversion omits.
 func TestCommandSurvivesConversion(t *testing.T) {
 	for name, command := range commands() {
 		t.Run(name, func(t *testing.T) {
@@ -60,7 +60,7 @@
 	must.ErrorContains(t, err, field)
 }
 
-// Guards against hostile values that reach the replicated state, and errors that do not say where.
+// Guards against hostile values that reach the replicated state, and against errors that do not name the field.
 func TestCommandRefusesFields(t *testing.T) {
 	job := specifier.JobID{1}
 	long := string(make([]byte, specifier.MaxName+1))
--- a/core/encoder/configuration.go
+++ b/core/encoder/configuration.go
@@ -28,27 +28,27 @@
 
 func (c *checker) configuration(path string, m *Configuration) specifier.Configuration {
 	configuration := specifier.Configuration{Profiles: map[string]specifier.Profile{}, Teams: map[string]specifier.Team{}}
-	if !c.need(path, m != nil) {
+	if !c.require(path, m != nil) {
 		return configuration
 	}
 	configuration.Revision = specifier.Revision(m.Revision)
 	if c.length(path+".Profiles", len(m.Profiles), specifier.MaxProfiles) {
 		for i, item := range m.Profiles {
 			field := indexed(path+".Profiles", i)
-			once(c, field+".Name", configuration.Profiles, item.GetName(), c.profile(field, item))
+			putUnique(c, field+".Name", configuration.Profiles, item.GetName(), c.profile(field, item))
 		}
 	}
 	if c.length(path+".Teams", len(m.Teams), specifier.MaxTeams) {
 		for i, item := range m.Teams {
 			field := indexed(path+".Teams", i)
-			once(c, field+".Name", configuration.Teams, item.GetName(), c.team(field, item))
+			putUnique(c, field+".Name", configuration.Teams, item.GetName(), c.team(field, item))
 		}
 	}
 	return configuration
 }
 
-// once stores value under key and reports a key that is already used.
-func once[K comparable, V any](c *checker, path string, values map[K]V, key K, value V) {
+// putUnique stores value under key and reports a key that is already used.
+func putUnique[K comparable, V any](c *checker, path string, values map[K]V, key K, value V) {
 	if _, used := values[key]; used {
 		c.problems.Add(path, "repeats %.64v", key)
 		return
--- a/core/encoder/decision.go
+++ b/core/encoder/decision.go
@@ -2,12 +2,12 @@
 
 import "oleandertally/core/specifier"
 
-// EncodeDecision leaves the results of the answer out.
+// EncodeDecision omits the results of the answer.
 func EncodeDecision(d specifier.Decision) *Decision {
 	d.Answer.Results = nil
-	m := &Decision{Verdict: string(d.Verdict), Owner: EncodeIdentity(d.Owner), OwnerAddr: address(d.OwnerAddr),
+	m := &Decision{Verdict: string(d.Verdict), Owner: EncodeIdentity(d.Owner), OwnerAddr: formatAddr(d.OwnerAddr),
 		OwnerDown: d.OwnerDown, Epoch: uint64(d.Epoch), Revision: uint64(d.Revision), Answer: EncodeAnswer(d.Answer),
-		Operator: d.Operator, Detail: clean(d.Detail, specifier.MaxDecisionDetail), Leader: address(d.Leader), MemberVersion: d.MemberVersion}
+		Operator: d.Operator, Detail: sanitize(d.Detail, specifier.MaxDecisionDetail), Leader: formatAddr(d.Leader), MemberVersion: d.MemberVersion}
 	for _, id := range d.Departed {
 		m.Departed = append(m.Departed, EncodeIdentity(id))
 	}
@@ -22,11 +22,11 @@
 }
 
 func (c *checker) decision(path string, m *Decision) specifier.Decision {
-	if !c.need(path, m != nil) {
+	if !c.require(path, m != nil) {
 		return specifier.Decision{}
 	}
 	decision := specifier.Decision{
-		Verdict: known(c, path+".Verdict", m.Verdict, specifier.Accepted, specifier.Attached, specifier.Finished,
+		Verdict: oneOf(c, path+".Verdict", m.Verdict, specifier.Accepted, specifier.Attached, specifier.Finished,
 			specifier.Conflict, specifier.Stale, specifier.Fenced, specifier.Applied, specifier.Rejected, specifier.Full,
 			specifier.NotLeader),
 		Owner:         c.optionalIdentity(path+".Owner", m.Owner),
@@ -49,15 +49,15 @@
 	return decision
 }
 
-// verdict checks the fields that the verdict promises.
+// verdict checks the fields that must be set with the verdict.
 func (c *checker) verdict(path string, decision specifier.Decision) {
 	switch decision.Verdict {
 	case specifier.Accepted:
 		c.epoch(path+".Epoch", uint64(decision.Epoch))
 	case specifier.Attached:
 		c.epoch(path+".Epoch", uint64(decision.Epoch))
-		c.need(path+".Owner", !decision.Owner.IsZero())
+		c.require(path+".Owner", !decision.Owner.IsZero())
 	case specifier.Finished:
-		c.need(path+".Answer", decision.Answer.Outcome != "")
+		c.require(path+".Answer", decision.Answer.Outcome != "")
 	}
 }
--- a/core/encoder/decision_test.go
+++ b/core/encoder/decision_test.go
@@ -11,7 +11,7 @@
 	"oleandertally/core/specifier"
 )
 
-// Guards against a field that one direction of the conversion forgets.
+// Guards against a field that one direction of the conversion omits.
 func TestDecisionSurvivesConversion(t *testing.T) {
 	decision := specifier.Decision{Verdict: specifier.Finished, Owner: owner, OwnerAddr: netip.MustParseAddrPort("[::1]:8"),
 		OwnerDown: true, Epoch: 2, Revision: 9, Answer: specifier.Fail(specifier.TimedOut, "late", true),
@@ -21,7 +21,7 @@
 	must.Eq(t, decision, decoded)
 }
 
-// Guards against a decision that lacks what its verdict promises, such as an owner to wait at.
+// Guards against a decision without the fields that its verdict requires, such as the owner that an attached caller waits for.
 func TestDecisionRefusesFields(t *testing.T) {
 	for field, decision := range map[string]specifier.Decision{
 		"Decision.Verdict": {Verdict: "Maybe"},
@@ -36,7 +36,7 @@
 	}
 }
 
-// Guards against a detail from an upstream that protobuf or the receiver would refuse.
+// Guards against a Detail from an upstream that protobuf or the receiver refuses because it is too long or not UTF-8.
 func TestAnswerCutsDetail(t *testing.T) {
 	m := EncodeAnswer(specifier.Fail(specifier.TaskFailed, strings.Repeat("é", specifier.MaxDetail)+"\xff", false))
 	_, err := DecodeAnswer(m)
@@ -58,7 +58,7 @@
 	must.ErrorContains(t, err, "Configuration.Profiles[1].Name")
 }
 
-// Guards against an advance that would expire every remembered submission.
+// Guards against an advance of the clock that would expire every remembered submission.
 func TestBatchRefusesAdvance(t *testing.T) {
 	_, err := DecodeBatch(EncodeBatch(specifier.Batch{Advance: 25 * time.Hour}))
 	must.ErrorContains(t, err, "LogBatch.Advance")
--- a/core/encoder/doc.go
+++ b/core/encoder/doc.go
@@ -1,4 +1,4 @@
-// Package encoder turns the types of specifier into protobuf messages and back. Decoding
+// Package encoder converts the types of specifier to protobuf messages and back. Decoding
 // checks every field, because a message may come from a faulty peer.
 package encoder
 
--- a/core/encoder/finishjob.go
+++ b/core/encoder/finishjob.go
@@ -2,7 +2,7 @@
 
 import "oleandertally/core/specifier"
 
-// encodeFinishJob leaves the results out: agents hold those.
+// encodeFinishJob omits the results, which are stored at the agents.
 func encodeFinishJob(command specifier.FinishJob) *FinishJob {
 	command.Answer.Results = nil
 	return &FinishJob{Job: command.Job[:], Owner: EncodeIdentity(command.Owner), Epoch: uint64(command.Epoch),
--- a/core/encoder/heartbeat.go
+++ b/core/encoder/heartbeat.go
@@ -3,13 +3,13 @@
 import "oleandertally/core/specifier"
 
 // EncodeHeartbeat copies every field.
-func EncodeHeartbeat(p specifier.Heartbeat) *Presence {
-	m := &Presence{Revision: uint64(p.Revision), Needs: encodeShares(p.Needs)}
-	if p.Member != nil {
-		m.Member = EncodeMember(*p.Member)
+func EncodeHeartbeat(heartbeat specifier.Heartbeat) *Presence {
+	m := &Presence{Revision: uint64(heartbeat.Revision), Needs: encodeShares(heartbeat.Needs)}
+	if heartbeat.Member != nil {
+		m.Member = EncodeMember(*heartbeat.Member)
 	}
-	if p.Load != nil {
-		m.Load = &Load{Slots: int32(p.Load.Slots), Running: int32(p.Load.Running), Queued: int32(p.Load.Queued)}
+	if heartbeat.Load != nil {
+		m.Load = &Load{Slots: int32(heartbeat.Load.Slots), Running: int32(heartbeat.Load.Running), Queued: int32(heartbeat.Load.Queued)}
 	}
 	return m
 }
@@ -17,16 +17,16 @@
 // DecodeHeartbeat returns every problem of the message's fields together.
 func DecodeHeartbeat(m *Presence) (specifier.Heartbeat, error) {
 	c := &checker{}
-	p := specifier.Heartbeat{Revision: specifier.Revision(m.GetRevision()), Needs: c.shares("Presence.Needs", m.GetNeeds())}
+	heartbeat := specifier.Heartbeat{Revision: specifier.Revision(m.GetRevision()), Needs: c.shares("Presence.Needs", m.GetNeeds())}
 	if m.GetMember() != nil {
 		member := c.member("Presence.Member", m.GetMember())
-		p.Member = &member
+		heartbeat.Member = &member
 	}
 	if load := m.GetLoad(); load != nil {
-		p.Load = &specifier.Load{Slots: int(load.GetSlots()), Running: int(load.GetRunning()), Queued: int(load.GetQueued())}
-		if min(p.Load.Slots, p.Load.Running, p.Load.Queued) < 0 {
+		heartbeat.Load = &specifier.Load{Slots: int(load.GetSlots()), Running: int(load.GetRunning()), Queued: int(load.GetQueued())}
+		if min(heartbeat.Load.Slots, heartbeat.Load.Running, heartbeat.Load.Queued) < 0 {
 			c.problems.Add("Presence.Load", "has a negative count")
 		}
 	}
-	return p, c.err()
+	return heartbeat, c.err()
 }
--- a/core/encoder/identity.go
+++ b/core/encoder/identity.go
@@ -18,7 +18,7 @@
 }
 
 func (c *checker) identity(path string, m *Identity) specifier.Identity {
-	if !c.need(path, m != nil) {
+	if !c.require(path, m != nil) {
 		return specifier.Identity{}
 	}
 	return specifier.Identity{Name: c.name(path+".Name", m.Name), Incarnation: specifier.Incarnation(m.Incarnation)}
--- a/core/encoder/limits.go
+++ b/core/encoder/limits.go
@@ -1,4 +1,4 @@
 package encoder
 
-// MaxMessage bounds one gRPC message, in bytes: room for a job's largest results.
+// MaxMessage is the largest size of a gRPC message, in bytes: enough for the largest results of a job.
 const MaxMessage = 32 << 20
--- a/core/encoder/profile.go
+++ b/core/encoder/profile.go
@@ -28,10 +28,10 @@
 	return profile
 }
 
-// rawProfile leaves the check of the values to the registrar, which reports every problem of a
+// rawProfile does not check the values: the registrar checks them and reports every problem of a
 // change together.
 func (c *checker) rawProfile(path string, m *Profile) specifier.Profile {
-	if !c.need(path, m != nil) {
+	if !c.require(path, m != nil) {
 		return specifier.Profile{}
 	}
 	return specifier.Profile{
--- a/core/encoder/queue_test.go
+++ b/core/encoder/queue_test.go
@@ -54,7 +54,7 @@
 	})
 }
 
-// Guards against a job from a faulty peer that stops every replica that applies it.
+// Guards against an invalid job from a faulty peer, which would crash every replica that applies it.
 func TestQueuedJobsAreChecked(t *testing.T) {
 	for name, change := range map[string]func(*QueuedJob){
 		"no ID":                    func(m *QueuedJob) { m.ID = "" },
--- a/core/encoder/queuecall.go
+++ b/core/encoder/queuecall.go
@@ -16,7 +16,7 @@
 	return m
 }
 
-// DecodeQueueCall checks the job of a submission.
+// DecodeQueueCall returns an error if the job of a submission is invalid.
 func DecodeQueueCall(m *QueueCall) (specifier.QueueCall, error) {
 	call := specifier.QueueCall{Verb: specifier.QueueVerb(m.Verb), Host: m.Host, Path: m.Path, TimeLeft: time.Duration(m.TimeLeft),
 		Age:      min(max(time.Duration(m.Age), 0), specifier.MaxTimeLeft),
--- a/core/encoder/queuecommand.go
+++ b/core/encoder/queuecommand.go
@@ -16,7 +16,7 @@
 	return m
 }
 
-// DecodeQueueCommand checks the job that the command accepts.
+// DecodeQueueCommand returns an error if the job that the command accepts is invalid.
 func DecodeQueueCommand(m *QueueCommand) (specifier.QueueCommand, error) {
 	job, err := DecodeQueuedJob(m.GetAccept())
 	if err != nil {
--- a/core/encoder/queuedjob.go
+++ b/core/encoder/queuedjob.go
@@ -23,7 +23,7 @@
 	return m
 }
 
-// DecodeQueuedJob returns nil for nil. The job is checked.
+// DecodeQueuedJob returns nil for nil, and the problems of an invalid job.
 func DecodeQueuedJob(m *QueuedJob) (*specifier.QueuedJob, error) {
 	if m == nil {
 		return nil, nil
--- a/core/encoder/resources.go
+++ b/core/encoder/resources.go
@@ -2,15 +2,15 @@
 
 import "oleandertally/core/specifier"
 
-// EncodeResources returns nil for no resources.
-func EncodeResources(room specifier.Resources) *QueueRoom {
-	if room == (specifier.Resources{}) {
+// EncodeResources returns nil for the zero value.
+func EncodeResources(resources specifier.Resources) *QueueRoom {
+	if resources == (specifier.Resources{}) {
 		return nil
 	}
-	return &QueueRoom{MilliCores: uint32(room.MilliCores), Memory: uint32(room.Memory), Accelerators: uint32(room.Accelerators)}
+	return &QueueRoom{MilliCores: uint32(resources.MilliCores), Memory: uint32(resources.Memory), Accelerators: uint32(resources.Accelerators)}
 }
 
-// DecodeResources returns no resources for nil.
+// DecodeResources returns the zero value for nil.
 func DecodeResources(m *QueueRoom) specifier.Resources {
 	return specifier.Resources{MilliCores: int(m.GetMilliCores()), Memory: int(m.GetMemory()), Accelerators: int(m.GetAccelerators())}
 }
--- a/core/encoder/result.go
+++ b/core/encoder/result.go
@@ -6,7 +6,7 @@
 func EncodeResult(r specifier.Result) *Result { return &Result{Task: r.Task, Body: r.Body} }
 
 func (c *checker) result(path string, m *Result) specifier.Result {
-	if !c.need(path, m != nil) {
+	if !c.require(path, m != nil) {
 		return specifier.Result{}
 	}
 	if len(m.Body) > specifier.MaxResult {
--- a/core/encoder/serviceshare.go
+++ b/core/encoder/serviceshare.go
@@ -6,7 +6,7 @@
 	"oleandertally/core/specifier"
 )
 
-// maxServices bounds the services of one message.
+// maxServices is the largest number of services in one message.
 const maxServices = 1024
 
 func encodeShares(shares []specifier.ServiceShare) []*ServiceShare {
--- a/core/encoder/takeoverjob.go
+++ b/core/encoder/takeoverjob.go
@@ -14,6 +14,6 @@
 		Owner:    c.identity("TakeOverJob.Owner", m.GetOwner()),
 		Replaces: c.epoch("TakeOverJob.Replaces", m.GetReplaces()),
 		Revision: specifier.Revision(m.GetRevision()),
-		TimeLeft: c.span("TakeOverJob.TimeLeft", m.GetTimeLeft(), 0, specifier.MaxTimeLeft),
+		TimeLeft: c.duration("TakeOverJob.TimeLeft", m.GetTimeLeft(), 0, specifier.MaxTimeLeft),
 	}
 }
--- a/core/encoder/team.go
+++ b/core/encoder/team.go
@@ -21,7 +21,7 @@
 }
 
 func (c *checker) rawTeam(path string, m *Team) specifier.Team {
-	if !c.need(path, m != nil) {
+	if !c.require(path, m != nil) {
 		return specifier.Team{}
 	}
 	return specifier.Team{Name: c.text(path+".Name", m.Name, specifier.MaxName), Share: m.Share}
--- a/core/encoder/text.go
+++ b/core/encoder/text.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// clean makes text that came from outside fit for a message: protobuf refuses to encode text
-// that is not UTF-8, and decoding refuses more than limit bytes.
-func clean(text string, limit int) string {
+// sanitize returns text as valid UTF-8 of at most limit bytes. Protobuf refuses to encode text from
+// outside that is not UTF-8, and decoding refuses longer text.
+func sanitize(text string, limit int) string {
 	text = strings.ToValidUTF8(text, "?")
 	if len(text) > limit {
 		text = strings.ToValidUTF8(text[:limit], "")
@@ -15,8 +15,8 @@
 	return text
 }
 
-// address returns the empty text for the zero address.
-func address(addr netip.AddrPort) string {
+// formatAddr returns the empty text for the zero address.
+func formatAddr(addr netip.AddrPort) string {
 	if !addr.IsValid() {
 		return ""
 	}
--- a/core/encoder/update.go
+++ b/core/encoder/update.go
@@ -8,12 +8,12 @@
 	"oleandertally/core/specifier"
 )
 
-// maxLease bounds the lease that a controller grants.
+// maxLease is the longest lease that a controller grants.
 const maxLease = time.Minute
 
 // EncodeUpdate copies every field.
 func EncodeUpdate(u specifier.Update) *Update {
-	m := &Update{Expelled: u.Expelled, NotLeader: u.NotLeader, Leader: address(u.Leader), Lease: int64(u.Lease),
+	m := &Update{Expelled: u.Expelled, NotLeader: u.NotLeader, Leader: formatAddr(u.Leader), Lease: int64(u.Lease),
 		Whole: u.MembersComplete, MemberVersion: u.MemberVersion, Shares: encodeShares(u.Shares)}
 	if u.Configuration != nil {
 		m.Configuration = EncodeConfiguration(*u.Configuration)
@@ -28,7 +28,7 @@
 func DecodeUpdate(m *Update) (specifier.Update, error) {
 	c := &checker{}
 	u := specifier.Update{Expelled: m.GetExpelled(), NotLeader: m.GetNotLeader(), Leader: c.optionalAddr("Update.Leader", m.GetLeader()),
-		Lease: c.span("Update.Lease", m.GetLease(), 0, maxLease), MembersComplete: m.GetWhole(), MemberVersion: m.GetMemberVersion(),
+		Lease: c.duration("Update.Lease", m.GetLease(), 0, maxLease), MembersComplete: m.GetWhole(), MemberVersion: m.GetMemberVersion(),
 		Shares: c.shares("Update.Shares", m.GetShares())}
 	if m.GetConfiguration() != nil {
 		configuration := c.configuration("Update.Configuration", m.GetConfiguration())
