--- a/core/container/heap.go
+++ b/core/container/heap.go
@@ -1,6 +1,6 @@
 package container
 
-// Heap is a binary heap. Less is set before use and must be a strict order without ties
+// Heap is a binary heap. Less is set before use. It must be a strict order without ties
 // for the pop order to be deterministic.
 type Heap[T any] struct {
 	Less  func(a, b T) bool
@@ -13,7 +13,7 @@
 // Push adds item.
 func (h *Heap[T]) Push(item T) {
 	h.items = append(h.items, item)
-	h.up(len(h.items) - 1)
+	h.siftUp(len(h.items) - 1)
 }
 
 // Peek returns the least item.
@@ -37,7 +37,7 @@
 	h.items[last] = zero
 	h.items = h.items[:last]
 	if last > 0 {
-		h.down(0)
+		h.siftDown(0)
 	}
 	return least, true
 }
@@ -53,11 +53,11 @@
 	clear(h.items[len(kept):])
 	h.items = kept
 	for i := len(h.items)/2 - 1; i >= 0; i-- {
-		h.down(i)
+		h.siftDown(i)
 	}
 }
 
-func (h *Heap[T]) up(i int) {
+func (h *Heap[T]) siftUp(i int) {
 	for i > 0 {
 		parent := (i - 1) / 2
 		if !h.Less(h.items[i], h.items[parent]) {
@@ -68,7 +68,7 @@
 	}
 }
 
-func (h *Heap[T]) down(i int) {
+func (h *Heap[T]) siftDown(i int) {
 	for {
 		least := i
 		for child := 2*i + 1; child <= 2*i+2 && child < len(h.items); child++ {
--- a/core/container/interner.go
+++ b/core/container/interner.go
@@ -9,7 +9,7 @@
 	free    []uint32
 }
 
-// Hold returns the number of item and counts one use.
+// Acquire returns the number of item and counts one use.
 func (n *Interner[T]) Acquire(item T) uint32 {
 	var zero T
 	if item == zero {
@@ -23,7 +23,7 @@
 	return number
 }
 
-// Drop ends one use of number and forgets its value after the last one.
+// Release ends one use of number and deletes its value after the last use.
 func (n *Interner[T]) Release(number uint32) {
 	if number == 0 {
 		return
@@ -47,17 +47,17 @@
 	return n.items[number]
 }
 
-// Find returns the number of item, or false when it is not held.
+// Find returns the number of item, or false when it is not stored.
 func (n *Interner[T]) Find(item T) (uint32, bool) {
 	var zero T
 	number, ok := n.numbers[item]
 	return number, ok || item == zero
 }
 
-// Len returns the number of values held.
+// Len returns the number of stored values.
 func (n *Interner[T]) Len() int { return len(n.numbers) }
 
-// All calls visit for each value held, in the order of their numbers.
+// All calls visit for each stored value, in the order of their numbers.
 func (n *Interner[T]) All(visit func(number uint32, item T)) {
 	for number, uses := range n.uses {
 		if uses > 0 {
