--- a/core/looper/loop.go
+++ b/core/looper/loop.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Loop runs a machine: it waits for an event or the next deadline, steps, and hands each
+// Loop runs a machine: it waits for an event or the next deadline, steps the machine, and passes each
 // action to Perform, which must not block. Fields are set before Run.
 type Loop[E, A any] struct {
 	Machine Machine[E, A]
@@ -14,12 +14,12 @@
 	Clock   func() time.Time
 }
 
-// Run returns the context's error when ctx ends.
+// Run runs the machine until ctx ends, and returns the context's error.
 func (l *Loop[E, A]) Run(ctx context.Context) error {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
-		l.arm(timer)
+		l.resetTimer(timer)
 		select {
 		case <-ctx.Done():
 			return context.Cause(ctx)
@@ -34,7 +34,7 @@
 	}
 }
 
-func (l *Loop[E, A]) arm(timer *time.Timer) {
+func (l *Loop[E, A]) resetTimer(timer *time.Timer) {
 	next := l.Machine.Next()
 	if next.IsZero() {
 		timer.Reset(time.Hour)
--- a/core/looper/mailbox.go
+++ b/core/looper/mailbox.go
@@ -2,13 +2,13 @@
 
 import "context"
 
-// Mailbox is the queue in front of a control goroutine. Size is set before use; traffic
-// goroutines block when it is full, which pushes back on their connections.
+// Mailbox is the bounded queue of events for a control goroutine. Traffic goroutines block while
+// it is full, which exerts back-pressure on their connections.
 type Mailbox[E any] struct {
 	events chan E
 }
 
-// NewMailbox returns a mailbox that holds size events.
+// NewMailbox returns a mailbox with a capacity of size events.
 func NewMailbox[E any](size int) *Mailbox[E] {
 	return &Mailbox[E]{events: make(chan E, size)}
 }
--- a/core/looper/outbox.go
+++ b/core/looper/outbox.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// Outbox is an unbounded queue from a control goroutine to one traffic goroutine. Put never
-// blocks; what bounds the queue is the work that the control state admits.
+// Outbox is a queue from a control goroutine to one traffic goroutine. It has no bound of its own, and
+// Put never blocks: the work that the control state admits limits its length.
 type Outbox[T any] struct {
 	mutex sync.Mutex
 	items []T
@@ -27,7 +27,7 @@
 	}
 }
 
-// Take waits until the outbox holds something and returns all of it, oldest first.
+// Take waits until the outbox is not empty and returns all items, oldest first.
 func (o *Outbox[T]) Take(ctx context.Context) ([]T, error) {
 	for {
 		o.mutex.Lock()
