--- a/core/registrant/departure.go
+++ b/core/registrant/departure.go
@@ -14,8 +14,9 @@
 	"oleandertally/core/specifier"
 )
 
-// Departure records that a member has left, so that the others need not wait for the end of its lease.
-// Fields are set before Run. The member must not attend any more: it would be recorded again.
+// Departure records that a member has departed, so that the others need not wait for its lease to expire.
+// Fields are set before Run. The member's Registrant must have ended: its next heartbeat would record the
+// member again.
 type Departure struct {
 	Identity    specifier.Identity
 	Controllers []netip.AddrPort
@@ -39,7 +40,7 @@
 			addr = d.Controllers[next]
 		}
 		last = err
-		looper.Pause(ctx, time.Duration(rand.Int64N(int64(redialBound))))
+		looper.Pause(ctx, time.Duration(rand.Int64N(int64(maxRedialDelay))))
 	}
 	return errors.CombineErrors(context.Cause(ctx), last)
 }
@@ -51,7 +52,7 @@
 	if err != nil {
 		return none, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, answerBound)
+	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
 	stream, err := encoder.NewRegistryClient(conn).Propose(ctx)
 	if err != nil {
--- a/core/registrant/departure_test.go
+++ b/core/registrant/departure_test.go
@@ -18,10 +18,10 @@
 	"oleandertally/core/specifier"
 )
 
-// TestMain guards against goroutines that are left after an attendance or a departure.
+// TestMain guards against goroutines that leak from a session or a departure.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-var leaver = specifier.Identity{Name: "agent-1", Incarnation: 7}
+var departing = specifier.Identity{Name: "agent-1", Incarnation: 7}
 
 // controller answers every proposal with one decision.
 type controller struct {
@@ -64,17 +64,17 @@
 	t.Helper()
 	pool := &dialer.Pool{Credentials: insecure.NewCredentials()}
 	defer pool.Close()
-	departure := &Departure{Identity: leaver, Controllers: controllers, Pool: pool}
+	departure := &Departure{Identity: departing, Controllers: controllers, Pool: pool}
 	return departure.Run(ctx)
 }
 
-// Guards against a member that ends without being recorded as Down, so that the others wait for its lease.
+// Guards against a member that stops without being recorded as Down, so that the others wait for its lease to expire.
 func TestDeparture(t *testing.T) {
 	t.Run("at the leader that a follower names", func(t *testing.T) {
 		leader := &controller{decision: specifier.Decision{Verdict: specifier.Applied}}
 		follower := &controller{decision: specifier.Decision{Verdict: specifier.NotLeader, Leader: serve(t, leader)}}
 		must.NoError(t, depart(t, t.Context(), serve(t, follower)))
-		must.Eq(t, specifier.Command(specifier.EndMember{Identity: leaver}), <-leader.commands)
+		must.Eq(t, specifier.Command(specifier.EndMember{Identity: departing}), <-leader.commands)
 	})
 	t.Run("replaced already", func(t *testing.T) {
 		must.NoError(t, depart(t, t.Context(), serve(t, &controller{decision: specifier.Decision{Verdict: specifier.Rejected}})))
--- a/core/registrant/doc.go
+++ b/core/registrant/doc.go
@@ -1,3 +1,3 @@
-// Package registrant keeps an entry or agent recorded as a member: it announces the member to the leading
-// controller, renews its lease, and hands on the membership and the configuration.
+// Package registrant keeps an entry or agent registered as a member: it announces the member to the leading
+// controller, renews its lease, and forwards the membership and the configuration to the process.
 package registrant
--- a/core/registrant/lease.go
+++ b/core/registrant/lease.go
@@ -8,7 +8,7 @@
 // Lease watches the lease of one member. Exported fields are set before Run.
 type Lease struct {
 	Clock   func() time.Time
-	Renewed func(left time.Duration) // what was left of the lease, negative when it had ended
+	Renewed func(left time.Duration) // time that was left of the lease, negative after its end
 	Expired func()
 
 	renewals chan time.Time
@@ -27,8 +27,8 @@
 	}
 }
 
-// Run calls Renewed at each renewal, with 0 left at the first, and Lapsed when one comes too late, until
-// ctx ends.
+// Run calls Renewed at each renewal, with 0 at the first one, and Expired when the lease ends before it is
+// renewed, until ctx ends.
 func (l *Lease) Run(ctx context.Context) error {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
--- a/core/registrant/notification.go
+++ b/core/registrant/notification.go
@@ -6,15 +6,15 @@
 	"oleandertally/core/specifier"
 )
 
-// Notice is what the registrant learned.
+// Notification tells the process what the registrant has received from the leading controller.
 type Notification struct {
 	Self          specifier.Identity
-	Members       []specifier.Member // every member that is known; nil when unchanged
+	Members       []specifier.Member // all known members; nil when unchanged
 	MemberVersion uint64             // of the membership
-	// Configuration is set when a newer one came.
+	// Configuration is set when a newer one was received.
 	Configuration *specifier.Configuration
-	// Until is when the lease ends, counted from when the renewal was sent; zero when unchanged.
+	// LeaseEnd is counted from the time when the renewal was sent; zero when unchanged.
 	LeaseEnd time.Time
-	// Shares are what an entry may count on until then.
+	// Shares are the slots that an entry may use until LeaseEnd.
 	Shares []specifier.ServiceShare
 }
--- a/core/registrant/registrant.go
+++ b/core/registrant/registrant.go
@@ -17,34 +17,34 @@
 )
 
 const (
-	// answerBound is how long a controller may take to answer a presence before another is tried.
-	answerBound = 1500 * time.Millisecond
-	// redialBound is the most that a member waits between two controllers.
-	redialBound = 200 * time.Millisecond
+	// answerTimeout is how long a controller may take to answer a heartbeat before another controller is tried.
+	answerTimeout = 1500 * time.Millisecond
+	// maxRedialDelay bounds the random delay before the next connection to a controller.
+	maxRedialDelay = 200 * time.Millisecond
 )
 
-// Registrant attends for one member. Exported fields are set before Run.
+// Registrant keeps one member registered. Exported fields are set before Run.
 type Registrant struct {
-	Member      specifier.Member // its incarnation is replaced when the controllers expel it
+	Member      specifier.Member // gets a new incarnation when the controllers expel it
 	Controllers []netip.AddrPort
 	Pool        *dialer.Pool
 	Notify      func(context.Context, Notification) error // called from one goroutine
-	// Load returns what presences report; nil for a member that has none.
+	// Load returns the load that heartbeats report; nil for a member without one.
 	Load func() *specifier.Load
-	// Needs returns what an entry's teams could use; nil for other members.
+	// Needs returns the slots that an entry's teams could use; nil for other members.
 	Needs func() []specifier.ServiceShare
 	Log   zerolog.Logger
 
 	changes  chan specifier.Member
 	roster   roster
 	revision specifier.Revision
-	sent     time.Time // of the presence that is not answered yet
+	sent     time.Time // when the earliest unanswered heartbeat was sent; zero for none
 }
 
 // New returns a registrant whose fields are still to be set.
 func New() *Registrant { return &Registrant{changes: make(chan specifier.Member, 1)} }
 
-// Announce replaces what is announced, but for the identity. Only the newest one counts.
+// Announce replaces the announced fields of the member except its identity. A later call replaces one that has not been sent.
 func (r *Registrant) Announce(member specifier.Member) {
 	select {
 	case <-r.changes:
@@ -53,7 +53,7 @@
 	r.changes <- member
 }
 
-// Run attends until ctx ends.
+// Run keeps the member registered until ctx ends.
 func (r *Registrant) Run(ctx context.Context) error {
 	if len(r.Controllers) == 0 {
 		return errors.New("registrant: Controllers: is empty, expected at least one address")
@@ -69,27 +69,27 @@
 			addr = r.Controllers[next]
 		}
 		if err != nil && ctx.Err() == nil {
-			r.Log.Debug().Err(err).Str("Peer", addr.String()).Msg("attendance ended")
+			r.Log.Debug().Err(err).Str("Peer", addr.String()).Msg("registration session ended")
 		}
-		looper.Pause(ctx, time.Duration(rand.Int64N(int64(redialBound))))
+		looper.Pause(ctx, time.Duration(rand.Int64N(int64(maxRedialDelay))))
 	}
 	return context.Cause(ctx)
 }
 
-// RunUntil attends until leave is closed, and then returns nil, or until ctx ends.
+// RunUntil keeps the member registered until leave is closed, and then returns nil, or until ctx ends.
 func (r *Registrant) RunUntil(ctx context.Context, leave <-chan struct{}) error {
-	attending, cancel := context.WithCancel(ctx)
+	running, cancel := context.WithCancel(ctx)
 	defer cancel()
 	group, _ := errgroup.WithContext(ctx)
 	group.Go(func() error {
 		select {
 		case <-leave:
 			cancel()
-		case <-attending.Done():
+		case <-running.Done():
 		}
 		return nil
 	})
-	err := r.Run(attending)
+	err := r.Run(running)
 	cancel()
 	_ = group.Wait()
 	if ctx.Err() == nil && errors.Is(err, context.Canceled) {
@@ -98,7 +98,7 @@
 	return err
 }
 
-// session attends at one controller. It returns the leader that the controller names, if any.
+// session registers the member at one controller. It returns the leader that the controller names, if any.
 func (r *Registrant) session(ctx context.Context, addr netip.AddrPort) (leader netip.AddrPort, err error) {
 	conn, err := r.Pool.Conn(addr)
 	if err != nil {
@@ -131,20 +131,20 @@
 	})
 	group.Go(func() error {
 		defer cancel()
-		leader, err = r.converse(groupCtx, stream, updates)
+		leader, err = r.exchange(groupCtx, stream, updates)
 		return err
 	})
 	return leader, group.Wait()
 }
 
-// converse sends presences and handles updates until the session ends.
-func (r *Registrant) converse(ctx context.Context, stream encoder.Registry_AttendClient, updates <-chan specifier.Update) (netip.AddrPort, error) {
+// exchange sends heartbeats and handles updates until the session ends.
+func (r *Registrant) exchange(ctx context.Context, stream encoder.Registry_AttendClient, updates <-chan specifier.Update) (netip.AddrPort, error) {
 	var none netip.AddrPort
 	r.sent = time.Time{}
 	if err := r.send(stream, true); err != nil {
 		return none, err
 	}
-	timer := time.NewTimer(answerBound)
+	timer := time.NewTimer(answerTimeout)
 	defer timer.Stop()
 	for {
 		select {
@@ -156,7 +156,7 @@
 			if err := r.send(stream, true); err != nil {
 				return none, err
 			}
-			timer.Reset(answerBound)
+			timer.Reset(answerTimeout)
 		case <-timer.C:
 			if !r.sent.IsZero() {
 				return none, errors.New("registrant: the controller did not answer in time")
@@ -164,7 +164,7 @@
 			if err := r.send(stream, false); err != nil {
 				return none, err
 			}
-			timer.Reset(answerBound)
+			timer.Reset(answerTimeout)
 		case update := <-updates:
 			if update.NotLeader {
 				return update.Leader, errors.New("registrant: the controller does not lead")
@@ -181,36 +181,36 @@
 }
 
 func (r *Registrant) handle(ctx context.Context, update specifier.Update, timer *time.Timer) error {
-	notice := Notification{Self: r.Member.Identity, Members: r.roster.merge(update), MemberVersion: r.roster.version}
+	notification := Notification{Self: r.Member.Identity, Members: r.roster.merge(update), MemberVersion: r.roster.version}
 	if update.Configuration != nil && update.Configuration.Revision > r.revision {
 		r.revision = update.Configuration.Revision
-		notice.Configuration = update.Configuration
+		notification.Configuration = update.Configuration
 	}
 	if update.Lease > 0 && !r.sent.IsZero() {
-		notice.LeaseEnd = r.sent.Add(update.Lease)
-		notice.Shares = update.Shares
+		notification.LeaseEnd = r.sent.Add(update.Lease)
+		notification.Shares = update.Shares
 		r.sent = time.Time{}
 		timer.Reset(update.Lease / 3)
 	}
-	return r.Notify(ctx, notice)
+	return r.Notify(ctx, notification)
 }
 
-func (r *Registrant) send(stream encoder.Registry_AttendClient, whole bool) error {
-	presence := specifier.Heartbeat{Revision: r.revision}
-	if whole {
+func (r *Registrant) send(stream encoder.Registry_AttendClient, withMember bool) error {
+	heartbeat := specifier.Heartbeat{Revision: r.revision}
+	if withMember {
 		member := r.Member
-		presence.Member = &member
+		heartbeat.Member = &member
 	}
 	if r.Needs != nil {
-		presence.Needs = r.Needs()
+		heartbeat.Needs = r.Needs()
 	}
 	if r.Load != nil {
-		presence.Load = r.Load()
+		heartbeat.Load = r.Load()
 	}
-	// While an answer is outstanding the earlier time stands, so that a lease is never counted
-	// from a later presence than the one it answers.
+	// While an answer is outstanding, the time of the earlier heartbeat is kept, so that a lease is never
+	// counted from a later heartbeat than the one that it answers.
 	if r.sent.IsZero() {
 		r.sent = time.Now()
 	}
-	return errors.Wrap(stream.Send(encoder.EncodeHeartbeat(presence)), "registrant: send")
+	return errors.Wrap(stream.Send(encoder.EncodeHeartbeat(heartbeat)), "registrant: send")
 }
--- a/core/registrant/roster.go
+++ b/core/registrant/roster.go
@@ -7,7 +7,7 @@
 	"oleandertally/core/specifier"
 )
 
-// roster is the membership as far as it was sent.
+// roster is the membership as received so far.
 type roster struct {
 	members map[string]specifier.Member
 	version uint64
