--- a/core/locator/addressbook.go
+++ b/core/locator/addressbook.go
@@ -5,17 +5,18 @@
 	"slices"
 )
 
-// book holds the addresses of controllers. Those of the settings are kept: what a controller tells may be out of date.
-type book struct {
-	seeds  []netip.AddrPort
-	known  []netip.AddrPort
-	leader netip.AddrPort // where to look first; zero for none
-	linked netip.AddrPort // the leader at the other end of the present stream; zero without one
-	next   int
+// addressBook holds the addresses of controllers. It keeps the configured addresses, because a list from a controller may be
+// out of date.
+type addressBook struct {
+	seeds     []netip.AddrPort
+	known     []netip.AddrPort
+	leader    netip.AddrPort // to try next; zero for none
+	connected netip.AddrPort // the leader at the other end of the open stream; zero without one
+	next      int
 }
 
-// pick returns the next address to try. An address of a leader is tried once.
-func (b *book) pick() netip.AddrPort {
+// pick returns the next address to try. The address of a named leader is tried once.
+func (b *addressBook) pick() netip.AddrPort {
 	if leader := b.leader; leader.IsValid() {
 		b.leader = netip.AddrPort{}
 		return leader
@@ -33,8 +34,8 @@
 	return all[b.next%len(all)]
 }
 
-// learn takes over the controllers that one of them tells.
-func (b *book) learn(controllers []netip.AddrPort) {
+// learn stores the list of controllers that a controller sent.
+func (b *addressBook) learn(controllers []netip.AddrPort) {
 	if len(controllers) > 0 {
 		b.known = controllers
 	}
--- a/core/locator/doc.go
+++ b/core/locator/doc.go
@@ -1,2 +1,2 @@
-// Package locator keeps one stream open to the controller that leads.
+// Package locator finds the leading controller and keeps one stream open to it.
 package locator
--- a/core/locator/locator.go
+++ b/core/locator/locator.go
@@ -20,48 +20,48 @@
 )
 
 const (
-	// answerWithin is how long a controller may take to say whether it leads.
-	answerWithin = 400 * time.Millisecond
-	// newsWithin is how long to wait at a follower for the name of a leader.
-	newsWithin = 400 * time.Millisecond
-	// pauseMost bounds the random pause before another controller is tried.
-	pauseMost = 60 * time.Millisecond
-	// unackedMost is how long sent bytes may stay unacknowledged before a connection counts as broken.
-	unackedMost = 800 * time.Millisecond
+	// answerTimeout is how long a controller may take to report whether it leads.
+	answerTimeout = 400 * time.Millisecond
+	// leaderTimeout is how long to wait for a follower to name a leader.
+	leaderTimeout = 400 * time.Millisecond
+	// maxRetryDelay bounds the random delay before another controller is tried.
+	maxRetryDelay = 60 * time.Millisecond
+	// unackedTimeout is how long sent bytes may stay unacknowledged before a connection is treated as broken.
+	unackedTimeout = 800 * time.Millisecond
 )
 
 // errNotLeading ends a stream to a controller that does not lead.
 var errNotLeading = errors.New("the controller does not lead")
 
-// Locator keeps a stream to the leading controller. Exported fields are set before Run. Linked, Received and Unlinked are called
-// by Run, one at a time.
+// Locator keeps a stream to the leading controller. Exported fields are set before Run. Run calls Connected, Received and
+// Disconnected, one at a time.
 type Locator[In, Out any] struct {
 	Seeds        []netip.AddrPort
 	Credentials  credentials.TransportCredentials
-	IdleTimeout  time.Duration // without a message for this long a stream counts as broken
+	IdleTimeout  time.Duration // a stream without a message for this long is treated as broken
 	Open         func(ctx context.Context, conn *grpc.ClientConn) (Stream[In, Out], error)
-	Welcome      func(In) *encoder.QueueWelcome // nil for a message without one
-	Merge        func([]Out) []Out              // makes fewer messages of those that wait; nil for none
-	Connected    func(ctx context.Context, controller netip.AddrPort, box *looper.Outbox[Out]) error
+	Welcome      func(In) *encoder.QueueWelcome // returns nil for a message without one
+	Merge        func([]Out) []Out              // combines waiting messages into fewer; may be nil
+	Connected    func(ctx context.Context, controller netip.AddrPort, outbox *looper.Outbox[Out]) error
 	Received     func(ctx context.Context, message In) error
 	Disconnected func(ctx context.Context, cause error) error
 
 	mutex sync.Mutex
-	book  book
+	book  addressBook
 }
 
-// Run returns the context's error when ctx ends.
+// Run keeps the stream open until ctx ends, and returns the context's error.
 func (l *Locator[In, Out]) Run(ctx context.Context) error {
 	l.book.seeds = l.Seeds
 	for ctx.Err() == nil {
 		addr := l.pick()
 		if addr.IsValid() {
-			_ = l.session(ctx, addr) // Unlinked gets the cause
+			_ = l.session(ctx, addr) // Disconnected gets the cause
 		}
 		if l.hasLeader() {
 			continue
 		}
-		looper.Pause(ctx, time.Duration(rand.Int64N(int64(pauseMost))))
+		looper.Pause(ctx, time.Duration(rand.Int64N(int64(maxRetryDelay))))
 	}
 	return context.Cause(ctx)
 }
@@ -78,24 +78,25 @@
 	return l.book.leader.IsValid()
 }
 
-// SetSeeds replaces the addresses of the settings.
+// SetSeeds replaces the configured addresses of controllers.
 func (l *Locator[In, Out]) SetSeeds(seeds []netip.AddrPort) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.book.seeds = seeds
 }
 
-// Known returns the leader, or the zero address while none is linked, and the controllers that one of them told last.
+// KnownControllers returns the leader, or the zero address while no stream is open, and the controllers in the newest list
+// that a controller sent.
 func (l *Locator[In, Out]) KnownControllers() (leader netip.AddrPort, controllers []netip.AddrPort) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.book.linked, l.book.known
+	return l.book.connected, l.book.known
 }
 
-func (l *Locator[In, Out]) setLinked(addr netip.AddrPort) {
+func (l *Locator[In, Out]) setConnected(addr netip.AddrPort) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.book.linked = addr
+	l.book.connected = addr
 }
 
 func (l *Locator[In, Out]) learn(m *encoder.QueueWelcome, at netip.AddrPort) {
@@ -113,7 +114,7 @@
 	}
 }
 
-// session runs one stream. Every session has a connection of its own: a connection can go silent while new ones work.
+// session runs one stream. Every session has its own connection: an old connection can stop responding while new ones work.
 func (l *Locator[In, Out]) session(ctx context.Context, addr netip.AddrPort) error {
 	conn, err := grpc.NewClient("passthrough:///"+addr.String(), grpc.WithTransportCredentials(l.Credentials),
 		grpc.WithContextDialer(dialer(addr)), grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(encoder.MaxMessage), grpc.MaxCallSendMsgSize(encoder.MaxMessage)))
@@ -124,22 +125,22 @@
 	group, ctx := errgroup.WithContext(ctx)
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watchdog := time.AfterFunc(answerWithin, func() { cancel(errors.Newf("locator: %s is silent", addr)) })
+	watchdog := time.AfterFunc(answerTimeout, func() { cancel(errors.Newf("locator: no message from %s in time", addr)) })
 	defer watchdog.Stop()
 	stream, err := l.Open(ctx, conn)
 	if err != nil {
 		return errors.Wrapf(err, "locator: open a stream to %s", addr)
 	}
-	if err := l.await(stream, addr, watchdog); err != nil {
+	if err := l.awaitLeader(stream, addr, watchdog); err != nil {
 		return err
 	}
-	l.setLinked(addr)
-	defer l.setLinked(netip.AddrPort{})
-	box := looper.NewOutbox[Out]()
-	if err := l.Connected(ctx, addr, box); err != nil {
+	l.setConnected(addr)
+	defer l.setConnected(netip.AddrPort{})
+	outbox := looper.NewOutbox[Out]()
+	if err := l.Connected(ctx, addr, outbox); err != nil {
 		return err
 	}
-	group.Go(func() error { return l.send(ctx, stream, box) })
+	group.Go(func() error { return l.send(ctx, stream, outbox) })
 	group.Go(func() error {
 		err := l.receive(ctx, stream, addr, watchdog)
 		cancel(err)
@@ -149,8 +150,8 @@
 	return errors.CombineErrors(l.Disconnected(context.WithoutCancel(ctx), err), err)
 }
 
-// await returns nil once the controller leads. At a follower it waits for news of a leader.
-func (l *Locator[In, Out]) await(stream Stream[In, Out], addr netip.AddrPort, watchdog *time.Timer) error {
+// awaitLeader returns nil once the controller leads, and errNotLeading once it names another leader.
+func (l *Locator[In, Out]) awaitLeader(stream Stream[In, Out], addr netip.AddrPort, watchdog *time.Timer) error {
 	for {
 		message, err := stream.Recv()
 		if err != nil {
@@ -168,13 +169,13 @@
 		if l.hasLeader() {
 			return errNotLeading
 		}
-		watchdog.Reset(newsWithin)
+		watchdog.Reset(leaderTimeout)
 	}
 }
 
-func (l *Locator[In, Out]) send(ctx context.Context, stream Stream[In, Out], box *looper.Outbox[Out]) error {
+func (l *Locator[In, Out]) send(ctx context.Context, stream Stream[In, Out], outbox *looper.Outbox[Out]) error {
 	for {
-		items, err := box.Take(ctx)
+		items, err := outbox.Take(ctx)
 		if err != nil {
 			return err
 		}
@@ -208,14 +209,14 @@
 	}
 }
 
-// dialer opens connections to one controller that fail soon after the other side stops to acknowledge. The text that gRPC passes is the
-// same address.
+// dialer opens connections to one controller. They fail soon after the other side stops acknowledging sent bytes. The dialer
+// ignores the address that gRPC passes, which is the same one.
 func dialer(addr netip.AddrPort) func(context.Context, string) (net.Conn, error) {
 	return func(ctx context.Context, _ string) (net.Conn, error) {
-		dialer := net.Dialer{Timeout: answerWithin, Control: func(_, _ string, raw syscall.RawConn) error {
+		dialer := net.Dialer{Timeout: answerTimeout, Control: func(_, _ string, raw syscall.RawConn) error {
 			var failed error
 			err := raw.Control(func(fd uintptr) {
-				failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedMost.Milliseconds()))
+				failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 			})
 			return errors.CombineErrors(err, failed)
 		}}
