--- a/core/verifier/check.go
+++ b/core/verifier/check.go
@@ -8,10 +8,10 @@
 	"oleandertally/core/specifier"
 )
 
-// Check returns every violation in events, which may come in any order and from any number of
+// Check returns every violation in events, which may be in any order and from any number of
 // processes. Sequence numbers order the events of one process. Only NotRunIsTrue compares times
 // of different processes, and only for a refusal before acceptance that is followed by a
-// resubmission at another entry: align the clocks first (merger.Merge) when hosts differ.
+// resubmission at another entry. For events of several hosts, align the clocks first (merger.Merge).
 func Check(events []recorder.Event, facts Facts) []Violation {
 	ordered := slices.Clone(events)
 	slices.SortStableFunc(ordered, func(a, b recorder.Event) int {
--- a/core/verifier/check_test.go
+++ b/core/verifier/check_test.go
@@ -13,7 +13,7 @@
 
 var (
 	start = time.Date(2026, 5, 4, 9, 0, 0, 0, time.UTC)
-	hold  = specifier.NewJobID("reservas", "hold-1")
+	jobID = specifier.NewJobID("reservas", "hold-1")
 )
 
 const (
@@ -23,7 +23,7 @@
 	workerB = "worker-b/0000000000000004"
 )
 
-// script builds events: At counts milliseconds, sequence numbers count for each process.
+// script builds events. Times are in milliseconds after start; sequence numbers count per process.
 type script struct {
 	events    []recorder.Event
 	sequences map[string]uint64
@@ -37,20 +37,20 @@
 	event := recorder.Event{At: start.Add(time.Duration(ms) * time.Millisecond), Process: process,
 		Sequence: s.sequences[process], Kind: kind, Epoch: epoch, Task: task, Other: other, Detail: detail}
 	if !slices.Contains([]recorder.Kind{recorder.MemberDown, recorder.MemberDraining, recorder.MemberResumed}, kind) {
-		event.Job = hold
+		event.Job = jobID
 	}
 	s.events = append(s.events, event)
 	return s
 }
 
-// accepted is a submission at entryA that is accepted under epoch.
+// accepted adds a submission at entryA that is accepted under epoch.
 func (s *script) accepted(ms int, epoch specifier.Epoch) *script {
 	return s.add(ms, entryA, recorder.JobSubmitted, 0, "", "", "").
 		add(ms+1, entryA, recorder.JobProposed, 0, "", "", "").
 		add(ms+5, entryA, recorder.JobAccepted, epoch, "", "", "")
 }
 
-// run is one task that worker queues, starts and ends.
+// run adds one task that worker queues, starts and ends.
 func (s *script) run(ms int, worker string, epoch specifier.Epoch, task string) *script {
 	return s.begin(ms, worker, epoch, task).
 		add(ms+50, worker, recorder.TaskEnded, epoch, task, "", "").
@@ -81,7 +81,7 @@
 
 func repeatable(specifier.JobID) bool { return true }
 
-// Guards against false alarms on runs that keep every promise.
+// Guards against false violations on correct runs.
 func TestCheckAcceptsCorrectRuns(t *testing.T) {
 	t.Run("complete", func(t *testing.T) {
 		s := new(script).accepted(0, 1).run(10, workerA, 1, "a").run(12, workerB, 1, "b").answer(90, entryA, 1, "Complete")
@@ -125,7 +125,7 @@
 	})
 }
 
-// Guards against a task that runs twice without being noticed.
+// Guards against a task that runs twice without a violation.
 func TestStartOnce(t *testing.T) {
 	twice := func() *script { return new(script).accepted(0, 1).run(10, workerA, 1, "a").run(20, workerB, 1, "a") }
 	lost := new(script).accepted(0, 1).begin(10, workerA, 1, "a").
@@ -156,7 +156,7 @@
 	})
 }
 
-// Guards against a refusal that says "not run" although a task started.
+// Guards against a NotRun answer for a job of which a task started.
 func TestNotRunIsTrue(t *testing.T) {
 	t.Run("started before", func(t *testing.T) {
 		s := new(script).accepted(0, 1).run(10, workerA, 1, "a").answer(90, entryA, 1, "NotRun DeadlinePast")
@@ -201,7 +201,7 @@
 	})
 }
 
-// Guards against a partial answer that says it is complete.
+// Guards against a Complete answer without the results of all tasks.
 func TestCompleteIsWhole(t *testing.T) {
 	t.Run("a started task has not ended", func(t *testing.T) {
 		s := new(script).accepted(0, 1).run(10, workerA, 1, "a").begin(12, workerB, 1, "b").answer(90, entryA, 1, "Complete")
@@ -235,7 +235,7 @@
 	})
 }
 
-// Guards against callers of one job being told different outcomes.
+// Guards against different outcomes for the callers of one job.
 func TestNoContradiction(t *testing.T) {
 	both := func(first, second string) *script {
 		return new(script).accepted(0, 1).run(10, workerA, 1, "a").add(20, entryB, recorder.JobSubmitted, 0, "", "", "").
@@ -253,7 +253,7 @@
 	t.Run("the same", func(t *testing.T) { assertRules(t, both("Complete", "Complete"), Facts{}) })
 }
 
-// Guards against an agent that starts work of an owner that was replaced.
+// Guards against an agent that starts tasks of a replaced owner.
 func TestFenceHolds(t *testing.T) {
 	t.Run("started after the fence", func(t *testing.T) {
 		s := new(script).accepted(0, 1).add(9, workerA, recorder.JobFenced, 2, "", "", "").run(10, workerA, 1, "a")
@@ -271,7 +271,7 @@
 	})
 }
 
-// Guards against new work on an upstream that is leaving.
+// Guards against new tasks at an upstream that is draining.
 func TestDrainHolds(t *testing.T) {
 	drained := func() *script {
 		return new(script).add(0, workerA, recorder.MemberDraining, 0, "", "", "").accepted(0, 1)
--- a/core/verifier/complete.go
+++ b/core/verifier/complete.go
@@ -14,7 +14,7 @@
 	}
 	var missing string
 	seen, ended := make(map[string]bool), make(map[string]bool)
-	for _, event := range h.of(recorder.TaskEnded) {
+	for _, event := range h.ofKind(recorder.TaskEnded) {
 		ended[event.Task] = true
 	}
 	for _, event := range h.events {
--- a/core/verifier/contradiction.go
+++ b/core/verifier/contradiction.go
@@ -22,9 +22,9 @@
 	return found
 }
 
-// contradict compares two answers, of which a NotRun answer comes second. NotRun after
-// acceptance contradicts an outcome of the same or an earlier epoch; before acceptance,
-// NotRunIsTrue decides.
+// contradict reports whether two answers contradict each other. If one of them is NotRun, it must be
+// second. NotRun after acceptance contradicts an outcome of the same or an earlier epoch. NotRun before
+// acceptance is checked by NotRunIsTrue.
 func contradict(first, second recorder.Event) bool {
 	a, b := recorder.ParseAnswer(first.Detail), recorder.ParseAnswer(second.Detail)
 	if isUndecided(a) || isUndecided(b) {
@@ -36,8 +36,8 @@
 	return a.Outcome != b.Outcome || a.Reason != b.Reason
 }
 
-// isUndecided reports whether a failure says only that this entry has no answer: another entry
-// may still complete the job, or may have.
+// isUndecided reports whether a failure means only that this entry has no answer: another entry
+// may complete the job, or may have completed it.
 func isUndecided(a recorder.Answered) bool {
 	if a.Outcome != specifier.Failed {
 		return false
--- a/core/verifier/doc.go
+++ b/core/verifier/doc.go
@@ -1,3 +1,3 @@
-// Package verifier checks the promises of the dispatcher over recorded events. It needs all
-// events of all processes: a dropped event can show as a violation that did not happen.
+// Package verifier checks recorded events against the guarantees of the dispatcher. It needs all
+// events of all processes: a dropped event can cause a false violation.
 package verifier
--- a/core/verifier/drain.go
+++ b/core/verifier/drain.go
@@ -7,7 +7,7 @@
 	"oleandertally/core/recorder"
 )
 
-// drainHolds compares times on the agent's own clock only.
+// drainHolds compares only times on the clock of one agent.
 func drainHolds(events []recorder.Event, bound time.Duration) []Violation {
 	var found []Violation
 	drains := make(map[string]recorder.Event)
--- a/core/verifier/facts.go
+++ b/core/verifier/facts.go
@@ -6,14 +6,14 @@
 	"oleandertally/core/specifier"
 )
 
-// Facts is what Check needs to know beyond the events. A nil function means the strict case.
+// Facts is the information that Check needs beyond the events. A nil function means the strictest check.
 type Facts struct {
-	// Repeatable reports whether a lost task of the job may start again. Nil: none may.
+	// Repeatable reports whether a lost task of the job may start again. Nil: no task may.
 	Repeatable func(specifier.JobID) bool
 	// Tasks returns how many tasks the job has, or 0 when unknown. Nil: unknown; then only the
 	// tasks that some event names are known.
 	Tasks func(specifier.JobID) int
-	// DrainBound is how long after MemberDraining a task may still start.
+	// DrainGracePeriod is how long after MemberDraining a task may still start.
 	DrainGracePeriod time.Duration
 }
 
--- a/core/verifier/fence.go
+++ b/core/verifier/fence.go
@@ -8,7 +8,7 @@
 
 func (h *history) fenceHolds() []Violation {
 	var found []Violation
-	fences := make(map[string]recorder.Event) // highest of each agent so far
+	fences := make(map[string]recorder.Event) // the fence with the highest epoch so far, by agent
 	for _, event := range h.events {
 		fence, ok := fences[event.Process]
 		switch event.Kind {
--- a/core/verifier/losses.go
+++ b/core/verifier/losses.go
@@ -17,10 +17,10 @@
 	return l
 }
 
-// before reports whether the run process was known as down when the task of assigned was sent.
-// The entry that sends decides on its own knowledge; when the assignment is not recorded, any
-// process's knowledge counts. Other must name the run: the name alone would cover a live run too.
-func (l losses) before(process string, assigned *recorder.Event) bool {
+// knownBefore reports whether the incarnation process was recorded as Down before the task of assigned was
+// sent. The entry that sends the task decides by its own events; when the assignment is not recorded, an
+// event of any process counts. Other must name the incarnation: the name alone would match a live one too.
+func (l losses) knownBefore(process string, assigned *recorder.Event) bool {
 	for _, down := range l.downs {
 		if down.Other != process {
 			continue
--- a/core/verifier/notrun.go
+++ b/core/verifier/notrun.go
@@ -25,13 +25,13 @@
 }
 
 // resubmitted reports whether start belongs to a later submission than the refused one. A
-// refusal after acceptance released its epoch, so a higher epoch is a later run. A refusal
-// before acceptance has epoch 0: the run must come from a submission that arrived after it.
+// refusal after acceptance released its epoch, so a higher epoch belongs to a later submission. A
+// refusal before acceptance has epoch 0: the start must come from a submission that arrived after it.
 func (h *history) resubmitted(answer, start recorder.Event) bool {
 	if answer.Epoch > 0 {
 		return start.Epoch > answer.Epoch
 	}
-	for _, own := range h.relayed(answer) {
+	for _, own := range h.ownerRefusals(answer) {
 		if start.Epoch > own.Epoch {
 			return true
 		}
@@ -47,11 +47,11 @@
 	return false
 }
 
-// relayed returns the owner's own refusals when answer passes one of them on to an attached
-// caller: such an answer belongs to the epoch that the owner released.
-func (h *history) relayed(answer recorder.Event) []recorder.Event {
+// ownerRefusals returns the owner's refusals that answer may have forwarded to an attached caller.
+// A forwarded refusal belongs to the epoch that the owner released.
+func (h *history) ownerRefusals(answer recorder.Event) []recorder.Event {
 	var own []recorder.Event
-	for _, attached := range h.of(recorder.JobAttached) {
+	for _, attached := range h.ofKind(recorder.JobAttached) {
 		if attached.Process != answer.Process || attached.Sequence > answer.Sequence || attached.Other == "" {
 			continue
 		}
@@ -67,7 +67,7 @@
 // submittedBetween reports whether a submission arrived at the entry of owned after answer and
 // before owned.
 func (h *history) submittedBetween(answer, owned recorder.Event) bool {
-	for _, event := range h.of(recorder.JobSubmitted) {
+	for _, event := range h.ofKind(recorder.JobSubmitted) {
 		if event.Process != owned.Process || event.Sequence > owned.Sequence {
 			continue
 		}
--- a/core/verifier/oneanswer.go
+++ b/core/verifier/oneanswer.go
@@ -2,9 +2,9 @@
 
 import "oleandertally/core/recorder"
 
-// oneAnswer counts the submissions that wait at each entry. JobAttached is a submission of its
-// own when it names no other owner: the caller joined a job that this entry has. With an owner,
-// it is the decision on a submission that is recorded already.
+// oneAnswer counts the submissions that wait at each entry. JobAttached without an owner is a
+// submission: the caller joined a job that this entry owns. JobAttached with an owner is the
+// decision on a submission that has its own event.
 func (h *history) oneAnswer() []Violation {
 	var found []Violation
 	waiting := make(map[string]int)
--- a/core/verifier/rule.go
+++ b/core/verifier/rule.go
@@ -1,6 +1,6 @@
 package verifier
 
-// Rule names a promise that recorded events can break.
+// Rule names a guarantee that recorded events can violate.
 type Rule string
 
 // The rules that Check applies.
@@ -10,6 +10,6 @@
 	CompleteIsWhole Rule = "CompleteIsWhole" // a Complete answer has every task ended
 	OneAnswer       Rule = "OneAnswer"       // each submission gets at most one answer
 	NoContradiction Rule = "NoContradiction" // answers of one job agree
-	FenceHolds      Rule = "FenceHolds"      // no start under an epoch below a fence that the agent has seen
-	DrainHolds      Rule = "DrainHolds"      // no start later than a bound after a drain
+	FenceHolds      Rule = "FenceHolds"      // no start under an epoch below a fence that the agent has received
+	DrainHolds      Rule = "DrainHolds"      // no start after the grace period of a drain
 )
--- a/core/verifier/startonce.go
+++ b/core/verifier/startonce.go
@@ -11,7 +11,7 @@
 	earlier := make(map[string][]recorder.Event)
 	for _, start := range h.starts() {
 		for _, other := range earlier[start.Task] {
-			if repeatable && h.repeats(start, other, losses) {
+			if repeatable && h.isRepeat(start, other, losses) {
 				continue
 			}
 			found = append(found, Violation{Rule: StartOnce, Event: start, Others: []recorder.Event{other},
@@ -22,12 +22,12 @@
 	return found
 }
 
-// repeats reports whether one of two starts was sent after the other's run was known as down.
-func (h *history) repeats(a, b recorder.Event, losses losses) bool {
+// isRepeat reports whether one of two starts was sent after the agent of the other was known to be Down.
+func (h *history) isRepeat(a, b recorder.Event, losses losses) bool {
 	if a.Process == b.Process {
 		return false
 	}
-	return losses.before(a.Process, h.assignment(b)) || losses.before(b.Process, h.assignment(a))
+	return losses.knownBefore(a.Process, h.assignment(b)) || losses.knownBefore(b.Process, h.assignment(a))
 }
 
 // assignment returns the latest TaskAssigned that can have led to start, or nil.
--- a/core/verifier/violation.go
+++ b/core/verifier/violation.go
@@ -6,7 +6,7 @@
 	"oleandertally/core/recorder"
 )
 
-// Violation is one broken promise.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule   Rule
 	Event  recorder.Event   // the event that breaks the rule
