--- a/dispatch/admitter/byfinish.go
+++ b/dispatch/admitter/byfinish.go
@@ -11,11 +11,11 @@
 const (
 	// defaultShare keeps queues short enough that wide jobs still finish although narrow jobs overtake them.
 	defaultShare = 0.35
-	// wideShare applies to a job that would exceed the normal share even with an empty queue. At 4 times the normal
-	// demand, jobs of over 200 tasks that may use all of the time left narrowly miss their deadlines, which
+	// wideShare applies to a job that would exceed the normal share even with an empty queue. At a demand of 4 times the
+	// capacity of the slots, jobs of over 200 tasks that may use all of the time left narrowly miss their deadlines, which
 	// wastes 2% of the work.
 	wideShare = 0.6
-	// minRetry prevents refused callers from retrying faster than the queue can change.
+	// minRetryDelay prevents refused callers from retrying faster than the queue can change.
 	minRetryDelay = 200 * time.Millisecond
 )
 
