--- a/core/specifier/job.go
+++ b/core/specifier/job.go
@@ -8,7 +8,7 @@
 	Team     string
 	Key      string // the caller's idempotency key
 	Profile  string
-	Deadline time.Time // on the clock of the process that holds the job
+	Deadline time.Time // on the clock of the process that uses the value
 	Tasks    []Task    // 1 to MaxTasks
 }
 
--- a/core/specifier/reason.go
+++ b/core/specifier/reason.go
@@ -1,6 +1,6 @@
 package specifier
 
-// Reason says why a job was not run or failed.
+// Reason explains why a job was not run or failed.
 type Reason string
 
 // The reasons of refusals and failures.
--- a/core/specifier/verdict.go
+++ b/core/specifier/verdict.go
@@ -12,7 +12,7 @@
 	Stale     Verdict = "Stale"     // the proposer's configuration is older than Decision.Revision
 	Fenced    Verdict = "Fenced"    // the proposer no longer owns the job
 	Applied   Verdict = "Applied"   // the change is recorded
-	Rejected  Verdict = "Rejected"  // the change breaks a rule; Decision.Detail says which
+	Rejected  Verdict = "Rejected"  // the change breaks a rule; Decision.Detail names it
 	Full      Verdict = "Full"      // no more submissions or members can be recorded now
 	NotLeader Verdict = "NotLeader" // ask Decision.Leader
 )
--- a/core/verifier/check_test.go
+++ b/core/verifier/check_test.go
@@ -276,17 +276,17 @@
 	drained := func() *script {
 		return new(script).add(0, workerA, recorder.MemberDraining, 0, "", "", "").accepted(0, 1)
 	}
-	bound := Facts{DrainGracePeriod: 3 * time.Second}
+	facts := Facts{DrainGracePeriod: 3 * time.Second}
 	t.Run("after the bound", func(t *testing.T) {
-		assertRules(t, drained().run(3000, workerA, 1, "a"), bound, DrainHolds)
+		assertRules(t, drained().run(3000, workerA, 1, "a"), facts, DrainHolds)
 	})
 	t.Run("a second drain event does not extend the bound", func(t *testing.T) {
 		s := drained().add(2000, workerA, recorder.MemberDraining, 0, "", "", "").run(4000, workerA, 1, "a")
-		assertRules(t, s, bound, DrainHolds)
+		assertRules(t, s, facts, DrainHolds)
 	})
-	t.Run("within the bound", func(t *testing.T) { assertRules(t, drained().run(2990, workerA, 1, "a"), bound) })
+	t.Run("within the bound", func(t *testing.T) { assertRules(t, drained().run(2990, workerA, 1, "a"), facts) })
 	t.Run("resumed", func(t *testing.T) {
 		s := drained().add(10, workerA, recorder.MemberResumed, 0, "", "", "").run(9000, workerA, 1, "a")
-		assertRules(t, s, bound)
+		assertRules(t, s, facts)
 	})
 }
--- a/core/verifier/drain.go
+++ b/core/verifier/drain.go
@@ -8,7 +8,7 @@
 )
 
 // drainHolds compares only times on the clock of one agent.
-func drainHolds(events []recorder.Event, bound time.Duration) []Violation {
+func drainHolds(events []recorder.Event, gracePeriod time.Duration) []Violation {
 	var found []Violation
 	drains := make(map[string]recorder.Event)
 	for _, event := range events {
@@ -21,9 +21,9 @@
 		case recorder.MemberResumed:
 			delete(drains, event.Process)
 		case recorder.TaskStarted:
-			if draining && event.At.After(drain.At.Add(bound)) {
+			if draining && event.At.After(drain.At.Add(gracePeriod)) {
 				found = append(found, Violation{Rule: DrainHolds, Event: event, Others: []recorder.Event{drain},
-					Detail: fmt.Sprintf("started %v after the drain, expected at most %v", event.At.Sub(drain.At), bound)})
+					Detail: fmt.Sprintf("started %v after the drain, expected at most %v", event.At.Sub(drain.At), gracePeriod)})
 			}
 		}
 	}
