--- a/controller/server/controller.go
+++ b/controller/server/controller.go
@@ -54,7 +54,7 @@
 	MaxBatch       int                 // commands in one log entry; 0 is specifier.MaxBatch
 	OpenMembership bool                // controllers that Peers does not list may join
 	MinVoters      int                 // controllers that must hold the log before queues take anything in
-	DeadAfter      time.Duration       // silence after which a voter is removed when more than MinVoters are left; 0 for never
+	VoterTimeout   time.Duration       // silence after which a voter is removed when more than MinVoters are left; 0 for never
 	Queues         dispatcher.Settings // default dispatcher.Defaults()
 	JobRetention   time.Duration       // how long an ended job of a queue is remembered; default 10 minutes
 	Clock          func() time.Time    // default time.Now; must go on while the host is suspended
@@ -226,7 +226,7 @@
 	control.Lease, control.MaxBatch, control.MaxSubmissions = c.MemberLease, c.MaxBatch, c.MaxSubmissions
 	machine := driver.New(node, control, &dispatcher.Dispatcher{Recorder: queues, Settings: c.Queues})
 	machine.Fault, machine.Zone = c.fail, c.Zone
-	machine.MinVoters, machine.VoterTimeout = c.MinVoters, c.DeadAfter
+	machine.MinVoters, machine.VoterTimeout = c.MinVoters, c.VoterTimeout
 	for _, peer := range c.Peers {
 		if !c.OpenMembership {
 			machine.AllowedNames = append(machine.AllowedNames, peer.Name)
