--- a/controller/server/controller.go
+++ b/controller/server/controller.go
@@ -64,7 +64,7 @@
 	Health         *supervisor.Health // with Conditions
 	Events         *recorder.Buffer   // default one of its own
 	Log            zerolog.Logger
-	Noted          func(dispatcher.LogEvent) // told of each decision on queues; must not block; nil for nobody
+	Logged         func(dispatcher.LogEvent) // told of each decision on queues; must not block; nil for nobody
 
 	mailbox       *looper.Mailbox[driver.Event]
 	registry      *registry
--- a/controller/server/performqueue.go
+++ b/controller/server/performqueue.go
@@ -20,8 +20,8 @@
 
 // logNote writes one line for a decision. Fields that do not apply are left out.
 func (c *Controller) logNote(note dispatcher.LogEvent) {
-	if c.Noted != nil {
-		c.Noted(note)
+	if c.Logged != nil {
+		c.Logged(note)
 	}
 	line := c.Log.Info().Str("Event", note.Event)
 	for _, field := range []struct{ name, value string }{{"Job", note.Job}, {"Task", note.Task}, {"Agent", note.Agent}, {"Queue", note.Queue}, {"Detail", note.Detail}} {
