--- a/controller/server/faults_test.go
+++ b/controller/server/faults_test.go
@@ -107,11 +107,11 @@
 func TestHandOver(t *testing.T) {
 	c := newCluster(t, 3).begin()
 	leader := c.leader()
-	must.NoError(t, c.running[leader].HandOver(t.Context()))
+	must.NoError(t, c.running[leader].TransferLeadership(t.Context()))
 	must.NotEq(t, leader, c.leader())
 	t.Run("nobody to take it", func(t *testing.T) {
 		alone := newCluster(t, 1).begin()
-		must.ErrorContains(t, alone.running[0].HandOver(t.Context()), "still leads")
+		must.ErrorContains(t, alone.running[0].TransferLeadership(t.Context()), "still leads")
 	})
 }
 
@@ -182,7 +182,7 @@
 	t.Run("the stop ends at once", func(t *testing.T) { // guards against a process that waits for an answer of its own ended control loop
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 		defer cancel()
-		must.ErrorContains(t, c.running[0].HandOver(ctx), "has ended")
+		must.ErrorContains(t, c.running[0].TransferLeadership(ctx), "has ended")
 		must.NoError(t, ctx.Err())
 	})
 }
--- a/controller/server/stop.go
+++ b/controller/server/stop.go
@@ -12,13 +12,13 @@
 
 // Steps are those of a planned stop, while Run goes on.
 func (c *Controller) Steps() []supervisor.Step {
-	return []supervisor.Step{{Name: "HandOver", Run: c.HandOver}}
+	return []supervisor.Step{{Name: "HandOver", Run: c.TransferLeadership}}
 }
 
 // HandOver gives the leadership to another voter and returns once that one leads. It returns
 // an error when no other voter can take it; stopping is safe then too, but the others elect a leader
 // only after the election timeout.
-func (c *Controller) HandOver(ctx context.Context) error {
+func (c *Controller) TransferLeadership(ctx context.Context) error {
 	for !c.hasEnded() {
 		answer, err := c.handOverOnce(ctx)
 		switch {
