--- a/controller/main.go
+++ b/controller/main.go
@@ -4,8 +4,8 @@
 //	controller -settings FILE -name NAME   settings of a deployment that lists it
 //	controller -settings FILE -bootstrap   only the first controller of a new site, on its first start
 //
-// It exits with 0 after a shutdown that cut nothing off, 1 after the failure of a part, 2 when it could not
-// start, and 3 when the shutdown was cut off by a second signal or by StopWithin.
+// The exit code is 0 after a graceful shutdown, 1 after a component failed, 2 if the controller could not
+// start, and 3 if a second signal or StopWithin cut the shutdown short.
 package main
 
 import (
--- a/controller/redirector/doc.go
+++ b/controller/redirector/doc.go
@@ -1,3 +1,3 @@
-// Package redirector serves on a host without a disk in the place of a controller. It keeps no state and has no part in the
-// log: it tells entries, agents and controllers that join where the controllers are.
+// Package redirector runs instead of a controller on a host without a disk. It keeps no state and takes no part in the
+// replicated log: it sends the controllers' addresses to entries, agents and joining controllers.
 package redirector
--- a/controller/redirector/queues.go
+++ b/controller/redirector/queues.go
@@ -6,14 +6,14 @@
 	"oleandertally/core/encoder"
 )
 
-// queues tells each stream of an entry or agent where the controllers are, and waits for it to close.
+// queues sends the controllers' addresses on each stream of an entry or agent, and waits for the stream to close.
 type queues struct {
 	encoder.UnimplementedQueueKeeperServer
 
-	known func() (netip.AddrPort, []netip.AddrPort)
+	leaderAndControllers func() (netip.AddrPort, []netip.AddrPort)
 }
 
-// Call is the stream of an entry.
+// Call serves the stream of an entry.
 func (q *queues) Call(stream encoder.QueueKeeper_CallServer) error {
 	if err := stream.Send(&encoder.QueueReplies{Welcome: q.welcome()}); err != nil {
 		return err
@@ -22,7 +22,7 @@
 	return nil
 }
 
-// Attend is the stream of an agent.
+// Attend serves the stream of an agent.
 func (q *queues) Attend(stream encoder.QueueKeeper_AttendServer) error {
 	if err := stream.Send(&encoder.QueueOrder{Welcome: q.welcome()}); err != nil {
 		return err
@@ -32,7 +32,7 @@
 }
 
 func (q *queues) welcome() *encoder.QueueWelcome {
-	leader, controllers := q.known()
+	leader, controllers := q.leaderAndControllers()
 	welcome := &encoder.QueueWelcome{}
 	if leader.IsValid() {
 		welcome.Leader = leader.String()
--- a/controller/redirector/redirector.go
+++ b/controller/redirector/redirector.go
@@ -14,11 +14,11 @@
 	"oleandertally/state/transporter"
 )
 
-// Redirector answers for the controllers that it knows. Exported fields are set before Run.
+// Redirector sends the addresses of the controllers to whoever connects. Exported fields are set before Run.
 type Redirector struct {
 	Addr        netip.AddrPort
 	Credentials credentials.TransportCredentials
-	// Known returns the leading controller, or the zero address, and the controllers that it named last.
+	// Known returns the leader, or the zero address if it is unknown, and the controllers of the last list that a leader sent.
 	Known func() (leader netip.AddrPort, controllers []netip.AddrPort)
 
 	listener net.Listener
@@ -47,11 +47,11 @@
 	return errors.Wrap(err, "redirector: listen on Addr")
 }
 
-// Run serves until ctx ends. Open comes first.
+// Run serves until ctx ends. Open must be called before.
 func (r *Redirector) Run(ctx context.Context) error {
 	server := dialer.NewServer(r.Credentials)
-	encoder.RegisterQueueKeeperServer(server, &queues{known: r.Known})
-	transporter.RegisterReplicaServer(server, &replica{known: r.Known})
+	encoder.RegisterQueueKeeperServer(server, &queues{leaderAndControllers: r.Known})
+	transporter.RegisterReplicaServer(server, &replica{leaderAndControllers: r.Known})
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return errors.Wrap(server.Serve(r.listener), "redirector: serve") })
 	group.Go(func() error {
--- a/controller/redirector/redirector_test.go
+++ b/controller/redirector/redirector_test.go
@@ -39,14 +39,14 @@
 	return conn
 }
 
-func mustName(t *testing.T, welcome *encoder.QueueWelcome) {
+func assertWelcome(t *testing.T, welcome *encoder.QueueWelcome) {
 	t.Helper()
 	must.False(t, welcome.GetLeading())
 	must.Eq(t, leader.String(), welcome.GetLeader())
 	must.Eq(t, []string{leader.String(), other.String()}, welcome.GetControllers())
 }
 
-// Guards against entries, agents and controllers that are lost when the settings name hosts without a disk only.
+// Guards against entries, agents and controllers that find no leader when their settings name only hosts without a disk.
 func TestReferences(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -56,7 +56,7 @@
 		must.NoError(t, err)
 		replies, err := stream.Recv()
 		must.NoError(t, err)
-		mustName(t, replies.Welcome)
+		assertWelcome(t, replies.Welcome)
 		must.NoError(t, stream.CloseSend())
 	})
 	t.Run("agent", func(t *testing.T) {
@@ -64,7 +64,7 @@
 		must.NoError(t, err)
 		order, err := stream.Recv()
 		must.NoError(t, err)
-		mustName(t, order.Welcome)
+		assertWelcome(t, order.Welcome)
 		must.NoError(t, stream.CloseSend())
 	})
 	t.Run("controller", func(t *testing.T) {
@@ -75,7 +75,7 @@
 	})
 }
 
-// Guards against a field that is left out and found only when a stream fails.
+// Guards against a missing field that shows only when a stream fails.
 func TestCheck(t *testing.T) {
 	must.ErrorContains(t, (&Redirector{}).Open(), "Addr")
 	must.ErrorContains(t, (&Redirector{Addr: leader}).Open(), "Credentials")
--- a/controller/redirector/replica.go
+++ b/controller/redirector/replica.go
@@ -7,17 +7,17 @@
 	"oleandertally/state/transporter"
 )
 
-// replica sends controllers that want to join to the leader.
+// replica redirects joining controllers to the leader.
 type replica struct {
 	transporter.UnimplementedReplicaServer
 
-	known func() (netip.AddrPort, []netip.AddrPort)
+	leaderAndControllers func() (netip.AddrPort, []netip.AddrPort)
 }
 
-// Join names the leader, if one is known.
+// Join replies with the leader's address if the leader is known.
 func (r *replica) Join(context.Context, *transporter.JoinRequest) (*transporter.JoinReply, error) {
 	reply := &transporter.JoinReply{Detail: "no controller on this host"}
-	if leader, _ := r.known(); leader.IsValid() {
+	if leader, _ := r.leaderAndControllers(); leader.IsValid() {
 		reply.Leader = leader.String()
 	}
 	return reply, nil
--- a/controller/run.go
+++ b/controller/run.go
@@ -19,10 +19,10 @@
 	"oleandertally/core/supervisor"
 )
 
-// faultEvery bounds how often an equal fault is logged.
-const faultEvery = time.Minute
+// faultLogInterval is the minimum time between two log lines for the same fault.
+const faultLogInterval = time.Minute
 
-// run returns after a shutdown. The log goes to out.
+// run serves until the shutdown has finished. It writes the log to out.
 func run(ctx context.Context, list []string, signals <-chan os.Signal, out io.Writer) error {
 	bootstrap := false
 	parsed, err := launcher.ParseArguments("controller", list, out, func(flags *flag.FlagSet) {
@@ -49,7 +49,7 @@
 }
 
 func newController(settings configurator.ControllerSettings, bootstrap bool, log zerolog.Logger) (*server.Controller, error) {
-	faults := supervisor.NewFaultLog(log, faultEvery, time.Now)
+	faults := supervisor.NewFaultLog(log, faultLogInterval, time.Now)
 	security, err := authenticator.New(settings.Security, authenticator.Peer{Role: specifier.Controller, Name: settings.Name}, time.Now,
 		func(err error) { faults.Report(supervisor.Fields{Event: "CertificateNotReloaded"}, err) })
 	if err != nil {
--- a/controller/run_test.go
+++ b/controller/run_test.go
@@ -30,7 +30,7 @@
 	"oleandertally/core/specifier"
 )
 
-// site is the files of one controller with certificates, and those of its operator.
+// site is a folder with the settings, certificates and keys of one controller, its operator and an entry.
 type site struct {
 	t      *testing.T
 	folder string
@@ -104,7 +104,7 @@
 
 func (s *site) path(name string) string { return filepath.Join(s.folder, name) }
 
-// client returns a client with the certificate and the token file of those names.
+// client returns an operator's client that uses the given certificate and token file.
 func (s *site) client(role specifier.Role, certificate, name, token string) *operator.Client {
 	s.t.Helper()
 	settings := configurator.OperatorSettings{Name: name, TokenFile: s.path(token), Security: configurator.SecuritySettings{
@@ -117,7 +117,7 @@
 		Attempt: 2 * time.Second, Rounds: 1, Clock: time.Now}
 }
 
-// Guards against a program that lets in who has no right, and one that does not stop when it is told to.
+// Guards against a controller that admits unauthorized clients, and one that does not stop on SIGTERM.
 func TestProgram(t *testing.T) {
 	s := newSite(t, 1)
 	signals := make(chan os.Signal, 2)
@@ -154,7 +154,7 @@
 	must.StrContains(t, log.String(), `"Event":"ProcessStopped"`)
 }
 
-// Guards against exit codes that a platform would restart for ever, or not at all.
+// Guards against a wrong exit code for unusable settings, after which a platform would restart the process forever or never.
 func TestNoStart(t *testing.T) {
 	s := newSite(t, 2)
 	for name, arguments := range map[string][]string{
--- a/controller/server/bench_test.go
+++ b/controller/server/bench_test.go
@@ -26,8 +26,8 @@
 	"oleandertally/state/journaler"
 )
 
-// syncOnce returns the time of one write of 200 bytes and its sync, in the folder of the cluster.
-func (c *cluster) syncOnce(file *os.File) time.Duration {
+// timeSync returns the duration of a write of 200 bytes and its sync, in the folder of the cluster.
+func (c *cluster) timeSync(file *os.File) time.Duration {
 	began := time.Now()
 	_, err := file.Write(make([]byte, 200))
 	must.NoError(c.t, err)
@@ -36,8 +36,8 @@
 	return time.Since(began)
 }
 
-// BenchmarkAccept measures the time of an acceptance with a number of them in flight on one stream, and
-// the time of 400 syncs of the same disk, half before and half after it. A delay is added to each sync of both.
+// BenchmarkAccept measures the latency of acceptances with a number of them in flight on one stream, and for comparison
+// the latency of 400 syncs of the same disk, half before and half after. The same delay is added to every sync.
 func BenchmarkAccept(b *testing.B) {
 	for _, delay := range []time.Duration{0, 4 * time.Millisecond} {
 		for _, inFlight := range []int{1, 8, 64, 512} {
@@ -46,7 +46,7 @@
 				c.syncDelay = delay
 				c.openFolder = func(path string) (folder, error) {
 					disk, err := journaler.OpenDisk(path)
-					return &slow{Disk: disk, by: delay}, err
+					return &slowFolder{Disk: disk, delay: delay}, err
 				}
 				c.begin().measureAccept(b, inFlight)
 			})
@@ -64,16 +64,16 @@
 	defer file.Close()
 	accepts, syncs := hdrhistogram.New(1, int64(time.Minute), 3), hdrhistogram.New(1, int64(time.Minute), 3)
 	for range 200 {
-		must.NoError(b, syncs.RecordValue(int64(c.syncOnce(file))))
+		must.NoError(b, syncs.RecordValue(int64(c.timeSync(file))))
 	}
 	sent := make([]time.Time, b.N)
-	room := make(chan struct{}, inFlight)
+	slots := make(chan struct{}, inFlight)
 	b.ResetTimer()
 	began := time.Now()
 	var group errgroup.Group
 	group.Go(func() error {
 		for i := range b.N {
-			room <- struct{}{}
+			slots <- struct{}{}
 			sent[i] = time.Now()
 			item := &encoder.Proposal{Sequence: uint64(i) + 1, Command: encoder.EncodeCommand(c.benchAccept(i))}
 			if err := stream.Send(&encoder.Proposals{Items: []*encoder.Proposal{item}}); err != nil {
@@ -88,7 +88,7 @@
 		for _, verdict := range verdicts.Items {
 			must.Eq(b, string(specifier.Accepted), verdict.Decision.Verdict)
 			must.NoError(b, accepts.RecordValue(int64(time.Since(sent[verdict.Sequence-1]))))
-			<-room
+			<-slots
 			got++
 		}
 	}
@@ -96,15 +96,15 @@
 	must.NoError(b, group.Wait())
 	b.StopTimer()
 	for range 200 {
-		must.NoError(b, syncs.RecordValue(int64(c.syncOnce(file))))
+		must.NoError(b, syncs.RecordValue(int64(c.timeSync(file))))
 	}
-	rate, one := float64(b.N)/took.Seconds(), float64(time.Second)/syncs.Mean()
+	rate, syncRate := float64(b.N)/took.Seconds(), float64(time.Second)/syncs.Mean()
 	b.ReportMetric(float64(accepts.ValueAtQuantile(50))/1e6, "p50-ms")
 	b.ReportMetric(float64(accepts.ValueAtQuantile(99))/1e6, "p99-ms")
 	b.ReportMetric(float64(syncs.ValueAtQuantile(50))/1e6, "sync-p50-ms")
 	b.ReportMetric(float64(syncs.ValueAtQuantile(99))/1e6, "sync-p99-ms")
 	b.ReportMetric(rate, "accepts/s")
-	b.ReportMetric(rate/one, "accepts/sync")
+	b.ReportMetric(rate/syncRate, "accepts/sync")
 }
 
 func (c *cluster) benchAccept(i int) specifier.AcceptJob {
@@ -115,7 +115,7 @@
 }
 
 // BenchmarkNoLeader measures the time from the kill of the leader to the next accepted submission, with the
-// times of replicator.Defaults.
+// timeouts of replicator.Defaults.
 func BenchmarkNoLeader(b *testing.B) {
 	c := newCluster(b, 3)
 	c.consensus.Heartbeat, c.consensus.Lease, c.consensus.ElectionTimeout = 200*time.Millisecond, 800*time.Millisecond, 1200*time.Millisecond
@@ -149,7 +149,7 @@
 				c.start(0, false)
 				opened := time.Since(began)
 				other := c.benchAccept(changes - 1)
-				other.Digest[0] = 1 // conflicts with the last one that was accepted
+				other.Digest[0] = 1 // conflicts with the last accepted submission
 				must.Eq(b, specifier.Conflict, c.propose(other).Verdict)
 				b.ReportMetric(opened.Seconds()*1e3, "open-ms")
 				b.ReportMetric(time.Since(began).Seconds()*1e3, "first-answer-ms")
@@ -159,7 +159,7 @@
 	}
 }
 
-// fill accepts count submissions, one in each log entry at most.
+// fill proposes count submissions, each in a message of its own, and waits for their verdicts.
 func (c *cluster) fill(count int) {
 	conn, err := c.pool.Conn(c.peers[0].Addr)
 	must.NoError(c.t, err)
@@ -185,8 +185,8 @@
 	must.NoError(c.t, group.Wait())
 }
 
-// BenchmarkIdleMembers measures the control messages and the processor time of members that only renew, over
-// real streams. The processor time is that of the whole process: members, controllers and TCP together.
+// BenchmarkIdleMembers measures the bytes and the processor time of members that only renew their leases, over real
+// streams. The processor time is that of the whole process: members, controllers and TCP together.
 func BenchmarkIdleMembers(b *testing.B) {
 	for _, members := range []int{50, 200, 800} {
 		b.Run(fmt.Sprint(members), func(b *testing.B) { newCluster(b, 3).measureMembers(b, members) })
@@ -201,17 +201,17 @@
 	counter := &byteCounter{}
 	var group errgroup.Group
 	for i := range members {
-		who := registrant.New()
-		who.Pool = &dialer.Pool{Credentials: c.pool.Credentials}
-		who.Member = specifier.Member{Identity: specifier.Identity{Name: fmt.Sprintf("worker-%d", i), Incarnation: 1}, Role: specifier.Agent,
+		member := registrant.New()
+		member.Pool = &dialer.Pool{Credentials: c.pool.Credentials}
+		member.Member = specifier.Member{Identity: specifier.Identity{Name: fmt.Sprintf("worker-%d", i), Incarnation: 1}, Role: specifier.Agent,
 			Addr: c.peers[0].Addr, Zone: "heredia", Service: "reservas", Slots: 8}
-		who.Load = func() *specifier.Load { return &specifier.Load{Slots: 8} }
-		who.Log = zerolog.Nop()
-		who.Notify = func(context.Context, registrant.Notice) error { return nil }
+		member.Load = func() *specifier.Load { return &specifier.Load{Slots: 8} }
+		member.Log = zerolog.Nop()
+		member.Notify = func(context.Context, registrant.Notice) error { return nil }
 		for _, peer := range c.peers {
-			who.Controllers = append(who.Controllers, peer.Addr)
+			member.Controllers = append(member.Controllers, peer.Addr)
 		}
-		group.Go(func() error { return who.Run(ctx) })
+		group.Go(func() error { return member.Run(ctx) })
 	}
 	c.waitFor("all members", func(state operator.State) bool { return len(state.Members) == members+1 })
 	c.statsHandler.Store(counter)
@@ -234,19 +234,19 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// byteCounter counts the bytes of gRPC messages as they are on the wire.
+// byteCounter counts the bytes of gRPC messages on the wire.
 type byteCounter struct{ bytes atomic.Int64 }
 
-func (h *byteCounter) handle(s stats.RPCStats) {
-	switch s := s.(type) {
+func (h *byteCounter) handle(event stats.RPCStats) {
+	switch event := event.(type) {
 	case *stats.InPayload:
-		h.bytes.Add(int64(s.WireLength))
+		h.bytes.Add(int64(event.WireLength))
 	case *stats.OutPayload:
-		h.bytes.Add(int64(s.WireLength))
+		h.bytes.Add(int64(event.WireLength))
 	}
 }
 
-// statsSwitch passes what happens on the connections to a counter while one is set.
+// statsSwitch forwards the events of the connections to a counter while one is set.
 type statsSwitch struct{ atomic.Pointer[byteCounter] }
 
 func (s *statsSwitch) HandleRPC(_ context.Context, event stats.RPCStats) {
--- a/controller/server/calls.go
+++ b/controller/server/calls.go
@@ -8,7 +8,7 @@
 	"oleandertally/core/looper"
 )
 
-// calls ties the network's requests to the answers of the control loop.
+// calls matches requests from the network with the answers of the control loop, by a ticket number.
 type calls[T any] struct {
 	mailbox *looper.Mailbox[driver.Event]
 
@@ -17,8 +17,7 @@
 	waiting map[uint64]chan T
 }
 
-// ask sends the event that request makes for a ticket and waits for its answer. It returns the
-// context's error.
+// ask sends the event that request makes for a new ticket and waits for the answer. Its error is that of ctx.
 func (c *calls[T]) ask(ctx context.Context, request func(ticket uint64) driver.Event) (T, error) {
 	ticket, answered := c.open()
 	defer c.close(ticket)
@@ -52,7 +51,7 @@
 	delete(c.waiting, ticket)
 }
 
-// answer hands over the answer, unless nobody waits for it any more. It does not block.
+// answer delivers the answer, unless its caller has stopped waiting. It does not block.
 func (c *calls[T]) answer(ticket uint64, answer T) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/controller/server/cluster_test.go
+++ b/controller/server/cluster_test.go
@@ -29,10 +29,10 @@
 	"oleandertally/state/replicator"
 )
 
-// clusters gives each cluster a loopback network of its own.
-var clusters atomic.Uint32
+// clusterCount numbers the clusters, so that each has a loopback network of its own.
+var clusterCount atomic.Uint32
 
-// cluster is real controllers on loopback.
+// cluster runs real controllers on loopback.
 type cluster struct {
 	t            testing.TB
 	folder       string
@@ -42,7 +42,7 @@
 	pool         *dialer.Pool
 	owner        specifier.Identity
 	openFolder   func(path string) (folder, error)
-	syncDelay    time.Duration // added to each sync
+	syncDelay    time.Duration // added to each sync of timeSync
 	memberLease  time.Duration
 	statsHandler statsSwitch
 }
@@ -60,7 +60,7 @@
 		owner: specifier.Identity{Name: "entry-1", Incarnation: 1}, running: make([]*running, size)}
 	c.consensus.Heartbeat, c.consensus.Lease, c.consensus.ElectionTimeout = 50*time.Millisecond, 200*time.Millisecond, 300*time.Millisecond
 	c.memberLease = time.Minute
-	number := clusters.Add(1)
+	number := clusterCount.Add(1)
 	for i := range size {
 		addr := netip.AddrFrom4([4]byte{127, byte(os.Getpid()%200 + 20), byte(number), byte(i + 1)})
 		c.peers = append(c.peers, Peer{Name: fmt.Sprintf("controller-%d", i+1), Addr: netip.AddrPortFrom(addr, 7000)})
@@ -107,7 +107,7 @@
 	c.running[i] = started
 }
 
-// kill ends a controller without a planned stop and returns what it returned.
+// kill ends a controller without a planned stop and returns the error of its Run.
 func (c *cluster) kill(i int) error {
 	killed := c.running[i]
 	if killed == nil {
@@ -118,7 +118,7 @@
 	return killed.group.Wait()
 }
 
-// client asks every controller.
+// client returns an operator's client that asks every controller.
 func (c *cluster) client() *operator.Client {
 	client := &operator.Client{Credentials: insecure.NewCredentials(), Attempt: time.Second, Rounds: 1, Clock: time.Now}
 	for _, peer := range c.peers {
@@ -127,24 +127,24 @@
 	return client
 }
 
-func (c *cluster) waitFor(what string, holds func(operator.State) bool) operator.State {
+func (c *cluster) waitFor(what string, condition func(operator.State) bool) operator.State {
 	c.t.Helper()
 	var state operator.State
 	must.Wait(c.t, wait.InitialSuccess(wait.BoolFunc(func() bool {
 		var err error
 		state, err = c.client().Read(context.Background(), 0)
-		return err == nil && holds(state)
+		return err == nil && condition(state)
 	}), wait.Timeout(20*time.Second), wait.Gap(5*time.Millisecond)), must.Sprint(what))
 	return state
 }
 
-// waitVoters waits until the cluster is count voters, and all hold everything that is committed.
+// waitVoters waits until the cluster has exactly count controllers, all of them voters with every committed entry.
 func (c *cluster) waitVoters(count int) operator.State {
 	c.t.Helper()
-	return c.waitFor("voters that hold the whole log", func(state operator.State) bool {
+	return c.waitFor("voters with the whole log", func(state operator.State) bool {
 		voters := 0
-		for _, one := range state.Controllers {
-			if !one.Learner && one.SyncedIndex >= state.Controllers[leaderOf(state)].CommitIndex {
+		for _, controller := range state.Controllers {
+			if !controller.Learner && controller.SyncedIndex >= state.Controllers[leaderOf(state)].CommitIndex {
 				voters++
 			}
 		}
@@ -153,15 +153,15 @@
 }
 
 func leaderOf(state operator.State) int {
-	for i, one := range state.Controllers {
-		if one.Leading {
+	for i, controller := range state.Controllers {
+		if controller.Leading {
 			return i
 		}
 	}
 	return -1
 }
 
-// leader returns the number of the controller that leads.
+// leader waits for a leader and returns its index in peers.
 func (c *cluster) leader() int {
 	c.t.Helper()
 	state := c.waitFor("a leader", func(state operator.State) bool { return leaderOf(state) >= 0 })
--- a/controller/server/controller.go
+++ b/controller/server/controller.go
@@ -33,9 +33,9 @@
 )
 
 const (
-	mailboxSize = 8192
-	eventsKept  = 16384
-	closeBound  = time.Second
+	mailboxSize  = 8192
+	maxEvents    = 16384
+	closeTimeout = time.Second
 )
 
 // Controller is one controller process. Exported fields are set before Run.
@@ -43,28 +43,28 @@
 	Name           string
 	Zone           string
 	Addr           netip.AddrPort // gRPC, as others reach it
-	ListenAddr     netip.AddrPort // behind a port forwarder; zero for Addr
+	ListenAddr     netip.AddrPort // differs from Addr behind a port forwarder; zero for Addr
 	DataFolder     string
 	Peers          []Peer // every controller of the cluster, this one included
 	Bootstrap      bool   // begin a new cluster of this controller alone; the others join it
-	BootstrapIfNew bool   // like Bootstrap, but only with a data folder that is new
+	BootstrapIfNew bool   // like Bootstrap, but only if the data folder is new
 	MemberLease    time.Duration
 	MaxSubmissions int
 	Consensus      replicator.Settings
 	MaxBatch       int                 // commands in one log entry; 0 is specifier.MaxBatch
 	OpenMembership bool                // controllers that Peers does not list may join
-	MinVoters      int                 // controllers that must hold the log before queues take anything in
-	VoterTimeout   time.Duration       // silence after which a voter is removed when more than MinVoters are left; 0 for never
+	MinVoters      int                 // voters that the log must have before the queues accept anything
+	VoterTimeout   time.Duration       // how long a voter may be unreachable before it is removed while there are more than MinVoters; 0 for never
 	Queues         dispatcher.Settings // default dispatcher.Defaults()
-	JobRetention   time.Duration       // how long an ended job of a queue is remembered; default 10 minutes
-	Clock          func() time.Time    // default time.Now; must go on while the host is suspended
+	JobRetention   time.Duration       // how long an ended job of a queue is kept; default 10 minutes
+	Clock          func() time.Time    // default time.Now; must advance while the host is suspended
 	MaxMessage     configurator.ByteSize
 	Security       *authenticator.Authenticator
 	Metrics        *exporter.Controller
 	Health         *supervisor.Health // with Conditions
-	Events         *recorder.Buffer   // default one of its own
+	Events         *recorder.Buffer   // default a new buffer
 	Log            zerolog.Logger
-	Logged         func(dispatcher.LogEvent) // told of each decision on queues; must not block; nil for nobody
+	Logged         func(dispatcher.LogEvent) // called for each decision on queues; must not block; may be nil
 
 	mailbox       *looper.Mailbox[driver.Event]
 	registry      *registry
@@ -73,7 +73,7 @@
 	peers         *peers
 	joins         *calls[driver.JoinAnswered]
 	operators     *operators
-	handOvers     *calls[driver.LeadershipTransferred]
+	transfers     *calls[driver.LeadershipTransferred]
 	measures      *calls[driver.Measured]
 	fault         chan error
 	ended         chan struct{} // closed when Run has returned
@@ -81,7 +81,7 @@
 	machine       *driver.Driver
 	listener      net.Listener
 	serverOptions []grpc.ServerOption               // added by tests
-	openFolder    func(path string) (folder, error) // of the file system unless a test injects faults
+	openFolder    func(path string) (folder, error) // nil for the file system; tests inject faults
 }
 
 // Check returns an error that names the first field that is missing.
@@ -112,7 +112,7 @@
 	return c.Consensus.Check()
 }
 
-// Open reads the data folder and listens, so that a fault of either ends the process at its start.
+// Open reads the data folder and listens, so that a fault in either step shows when the process starts.
 func (c *Controller) Open() error {
 	if c.Queues == (dispatcher.Settings{}) {
 		c.Queues = dispatcher.Defaults()
@@ -124,7 +124,7 @@
 		return err
 	}
 	if c.Events == nil {
-		c.Events = &recorder.Buffer{Cap: eventsKept, Clock: time.Now}
+		c.Events = &recorder.Buffer{Cap: maxEvents, Clock: time.Now}
 	}
 	c.Events.SetProcess(specifier.Identity{Name: c.Name, Incarnation: specifier.Incarnation(rand.Uint64())}.String())
 	c.mailbox = looper.NewMailbox[driver.Event](mailboxSize)
@@ -135,7 +135,7 @@
 		c.Clock = time.Now
 	}
 	c.joins = &calls[driver.JoinAnswered]{mailbox: c.mailbox}
-	c.handOvers = &calls[driver.LeadershipTransferred]{mailbox: c.mailbox}
+	c.transfers = &calls[driver.LeadershipTransferred]{mailbox: c.mailbox}
 	c.measures = &calls[driver.Measured]{mailbox: c.mailbox}
 	c.operators = &operators{decisions: calls[specifier.Decision]{mailbox: c.mailbox}, reads: calls[driver.ReadAnswered]{mailbox: c.mailbox}}
 	c.fault, c.ended = make(chan error, 1), make(chan struct{})
@@ -143,13 +143,13 @@
 	if c.disk, c.recovered, err = c.openDisk(); err != nil {
 		return errors.Wrapf(err, "controller: DataFolder %s", c.DataFolder)
 	}
-	if err := c.open(); err != nil {
+	if err := c.recoverAndListen(); err != nil {
 		return errors.CombineErrors(err, c.disk.close())
 	}
 	return nil
 }
 
-func (c *Controller) open() error {
+func (c *Controller) recoverAndListen() error {
 	c.Bootstrap = c.Bootstrap || c.BootstrapIfNew && c.recovered.isNew()
 	if err := c.recovered.check(c.Bootstrap, len(c.Peers)); err != nil {
 		return errors.Wrapf(err, "controller: DataFolder %s", c.DataFolder)
@@ -158,15 +158,15 @@
 	if c.machine, err = c.newMachine(c.recovered); err != nil {
 		return err
 	}
-	at := c.Addr
+	addr := c.Addr
 	if c.ListenAddr.IsValid() {
-		at = c.ListenAddr
+		addr = c.ListenAddr
 	}
-	c.listener, err = net.Listen("tcp", at.String())
-	return errors.Wrapf(err, "controller: listen on %s", at)
+	c.listener, err = net.Listen("tcp", addr.String())
+	return errors.Wrapf(err, "controller: listen on %s", addr)
 }
 
-// Run serves until ctx ends or the controller can't go on. It opens what Open has not opened.
+// Run serves until ctx ends or the controller fails. It calls Open unless that has been done.
 func (c *Controller) Run(ctx context.Context) error {
 	if c.mailbox == nil {
 		if err := c.Open(); err != nil {
@@ -185,11 +185,11 @@
 	encoder.RegisterQueueKeeperServer(server, c.queues)
 	encoder.RegisterOperatorServer(server, &operator.Server{Propose: c.operators.propose, State: c.operators.read, Identify: c.Security.CheckOperator})
 	encoder.RegisterTimelineServer(server, &operator.Timeline{Buffer: c.Events})
-	known := &contacts{}
-	transporter.RegisterReplicaServer(server, &replica{mailbox: c.mailbox, disk: c.disk, joins: c.joins, security: c.Security, contacts: known})
+	contacts := &contacts{}
+	transporter.RegisterReplicaServer(server, &replica{mailbox: c.mailbox, disk: c.disk, joins: c.joins, security: c.Security, contacts: contacts})
 
 	group, ctx := errgroup.WithContext(ctx)
-	c.peers = &peers{group: group, ctx: ctx, pool: pool, disk: c.disk, mailbox: c.mailbox, settings: c.Peers, self: c.Addr, contacts: known}
+	c.peers = &peers{group: group, ctx: ctx, pool: pool, disk: c.disk, mailbox: c.mailbox, settings: c.Peers, self: c.Addr, contacts: contacts}
 	loop := &looper.Loop[driver.Event, driver.Action]{Machine: c.machine, Mailbox: c.mailbox, Perform: c.perform, Clock: c.Clock}
 	group.Go(func() error { return c.disk.run(ctx) })
 	group.Go(func() error { return c.disk.save(ctx) })
@@ -204,11 +204,11 @@
 			return context.Cause(ctx)
 		}
 	})
-	group.Go(func() error { return c.begin(ctx, c.machine.Node.Self, pool) })
+	group.Go(func() error { return c.joinCluster(ctx, c.machine.Node.Self, pool) })
 	return group.Wait()
 }
 
-// newMachine builds the control state from what the data folder held.
+// newMachine builds the control state from the content of the data folder.
 func (c *Controller) newMachine(recovered recovery) (*driver.Driver, error) {
 	node := &replicator.Node{Self: replicator.ServerID{Name: c.Name, Disk: recovered.disk}, Settings: c.Consensus,
 		Recovered: recovered.log, Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
@@ -235,8 +235,8 @@
 	return machine, nil
 }
 
-// begin starts the log, and makes this controller a voter if it is not one.
-func (c *Controller) begin(ctx context.Context, self replicator.ServerID, pool *dialer.Pool) error {
+// joinCluster starts the log, and then asks the other controllers for membership if there are any to ask.
+func (c *Controller) joinCluster(ctx context.Context, self replicator.ServerID, pool *dialer.Pool) error {
 	server := replicator.Server{ID: self, Addr: c.Addr, Voter: true}
 	events := []replicator.Event{replicator.Started{}}
 	if c.Bootstrap {
@@ -247,20 +247,20 @@
 			return err
 		}
 	}
-	joiner := &joiner{self: server, pool: pool, log: c.Log, stay: c.OpenMembership}
+	joiner := &joiner{self: server, pool: pool, log: c.Log, keepMember: c.OpenMembership}
 	for _, peer := range c.Peers {
 		if peer.Name != c.Name {
 			joiner.peers = append(joiner.peers, peer.Addr)
 		}
 	}
-	joiner.known = c.queues.others(c.Addr)
+	joiner.knownPeers = c.queues.otherControllers(c.Addr)
 	if c.Bootstrap && !c.OpenMembership || len(joiner.peers) == 0 {
 		return nil
 	}
 	return joiner.run(ctx)
 }
 
-// fail stops the controller with the first fault.
+// fail stops the controller. Run returns the first fault.
 func (c *Controller) fail(err error) {
 	select {
 	case c.fault <- err:
--- a/controller/server/disk.go
+++ b/controller/server/disk.go
@@ -18,22 +18,22 @@
 	"oleandertally/state/transporter"
 )
 
-// disk is the data folder of a controller. Its run goroutine performs the log's disk actions in order, and
-// all that wait while one sync runs share the next one.
+// disk is the data folder of a controller. Its run goroutine performs the log's disk actions in order;
+// actions that arrive during a sync share the next one.
 type disk struct {
 	mailbox *looper.Mailbox[driver.Event]
 	folder  folder
-	synced  func(time.Duration) // told how long each synced write took
+	synced  func(time.Duration) // called with the duration of each synced write
 	journal *journaler.Journal
 	store   *snapshotter.Store
 	queue   *looper.Outbox[driver.Action]
 	saves   *looper.Outbox[driver.Action]
 
-	mutex    sync.Mutex // one of Save, Receive and Install at a time
+	mutex    sync.Mutex // serializes Save, Receive and Install of the store
 	received *snapshotter.Receiver
 }
 
-// openDisk reads the data folder and closes it after an error. It returns what the log recovers and the content of the newest snapshot.
+// openDisk reads the data folder, and closes it after an error. The recovery includes the content of the newest snapshot.
 func openDisk(folder folder, log zerolog.Logger, mailbox *looper.Mailbox[driver.Event]) (*disk, recovery, error) {
 	d := &disk{mailbox: mailbox, folder: folder, synced: func(time.Duration) {}, queue: looper.NewOutbox[driver.Action](), saves: looper.NewOutbox[driver.Action]()}
 	d.journal = &journaler.Journal{Folder: folder, Disk: rand.Uint64(), Log: log}
@@ -96,7 +96,7 @@
 	return errors.CombineErrors(d.journal.Close(), d.folder.Close())
 }
 
-// run performs disk actions until ctx ends or the disk fails; the process must stop then.
+// run performs disk actions until ctx ends or the disk fails. After a failure the process must stop.
 func (d *disk) run(ctx context.Context) error {
 	for {
 		actions, err := d.queue.Take(ctx)
@@ -116,7 +116,7 @@
 	}
 }
 
-// perform commits the actions and returns the number of the last write.
+// perform commits the actions and returns the number of the last write, or 0.
 func (d *disk) perform(actions []driver.Action) (replicator.Write, error) {
 	var operations []journaler.Operation
 	var last replicator.Write
@@ -173,7 +173,7 @@
 	return records, nil
 }
 
-// save writes snapshots until ctx ends, beside the log's own writes.
+// save writes snapshots until ctx ends, concurrently with the log's own writes.
 func (d *disk) save(ctx context.Context) error {
 	for {
 		actions, err := d.saves.Take(ctx)
@@ -203,8 +203,8 @@
 	return d.store.Save(meta, image.Encode)
 }
 
-// install makes the received snapshot the newest one. Without one, a crash interrupted a
-// Restore whose snapshot is installed already.
+// install makes the received snapshot the newest one. If there is none, a crash interrupted a Restore
+// after its snapshot was installed.
 func (d *disk) install() error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -216,7 +216,7 @@
 	return received.Install()
 }
 
-// receive begins the transfer of a snapshot from another controller.
+// receive begins the transfer of a snapshot from another controller, one at a time.
 func (d *disk) receive() (*snapshotter.Receiver, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -228,13 +228,13 @@
 	return receiver, err
 }
 
-// drop ends a transfer that is not restored.
-func (d *disk) drop(receiver *snapshotter.Receiver) {
+// discard ends a transfer whose snapshot is not restored.
+func (d *disk) discard(receiver *snapshotter.Receiver) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.received == receiver {
 		d.received = nil
-		// What can't be removed now is removed at the next start.
+		// A file that can't be removed now is removed at the next start.
 		_ = receiver.Drop()
 	}
 }
--- a/controller/server/doc.go
+++ b/controller/server/doc.go
@@ -1,3 +1,3 @@
-// Package server runs a controller: the control loop around driver, the gRPC services, the streams to
+// Package server runs a controller: the control loop around package driver, the gRPC services, the streams to
 // the other controllers, and the disk.
 package server
--- a/controller/server/failing_test.go
+++ b/controller/server/failingfolder_test.go
@@ -10,20 +10,20 @@
 
 var errDisk = errors.New("the disk is broken")
 
-// failing is a data folder whose files fail to sync on request.
-type failing struct {
+// failingFolder is a data folder whose files fail to sync while fail is set.
+type failingFolder struct {
 	*journaler.Disk
 	fail atomic.Bool
 }
 
-func (f *failing) Create(name string) (journaler.File, error) {
+func (f *failingFolder) Create(name string) (journaler.File, error) {
 	file, err := f.Disk.Create(name)
 	return &failingFile{File: file, folder: f}, err
 }
 
 type failingFile struct {
 	journaler.File
-	folder *failing
+	folder *failingFolder
 }
 
 func (f *failingFile) Sync() error {
--- a/controller/server/faults_test.go
+++ b/controller/server/faults_test.go
@@ -14,7 +14,7 @@
 	"oleandertally/state/journaler"
 )
 
-// Guards against a restart that forgets what was accepted.
+// Guards against accepted submissions and applied changes that are lost when the leader is killed or starts again.
 func TestLeaderKilled(t *testing.T) {
 	c := newCluster(t, 3).begin()
 	for i := range 20 {
@@ -31,29 +31,29 @@
 	c.assertRevision(1)
 }
 
-// Guards against a follower that stays behind once it missed more than one message, with and
-// without the entries that a snapshot has replaced.
+// Guards against a follower that never catches up after missing many messages, both when the leader still has the
+// missing entries and when a snapshot has replaced them.
 func TestFollowerBehind(t *testing.T) {
 	for name, every := range map[string]int{"from the log": 100_000, "from a snapshot": 50} {
 		t.Run(name, func(t *testing.T) {
 			c := newCluster(t, 3)
 			c.consensus.SnapshotEvery, c.consensus.KeepEntries = every, every/5
 			c.begin()
-			away := (c.leader() + 1) % 3
-			must.ErrorIs(t, c.kill(away), context.Canceled)
+			stopped := (c.leader() + 1) % 3
+			must.ErrorIs(t, c.kill(stopped), context.Canceled)
 			for i := range 300 {
 				must.Eq(t, specifier.Accepted, c.propose(c.accept(i)).Verdict)
 			}
-			c.start(away, false)
+			c.start(stopped, false)
 			c.waitVoters(3)
-			must.ErrorIs(t, c.kill((away+1)%3), context.Canceled)
-			c.assertAccepted(300) // needs the one that was away for a majority
+			must.ErrorIs(t, c.kill((stopped+1)%3), context.Canceled)
+			c.assertAccepted(300) // the majority needs the controller that was stopped
 		})
 	}
 }
 
-// Guards against a controller that votes under the identity of its lost disk, and against a repair after
-// which a second loss takes accepted work with it.
+// Guards against a controller that votes under the identity of its lost disk, and against accepted submissions that are
+// lost when a second disk is lost after the first was replaced.
 func TestDiskLostTwice(t *testing.T) {
 	c := newCluster(t, 3).begin()
 	for i := range 50 {
@@ -69,7 +69,7 @@
 	c.assertAccepted(50)
 }
 
-// Guards against two winners, and against a loser that is not told who won.
+// Guards against two concurrent changes that are both applied, and against a conflict that does not name the other operator.
 func TestRace(t *testing.T) {
 	c := newCluster(t, 3).begin()
 	names := []string{"eva", "luis"}
@@ -92,7 +92,7 @@
 	must.Eq(t, names[winner], decisions[1-winner].Operator)
 }
 
-// Guards against a resend that is decided anew, also by another leader.
+// Guards against a second decision on a command that is sent again, here to another leader.
 func TestResend(t *testing.T) {
 	c := newCluster(t, 3).begin()
 	first := c.propose(change("lost", "eva", 0))
@@ -104,7 +104,7 @@
 }
 
 // Guards against a planned stop that leaves the others without a leader.
-func TestHandOver(t *testing.T) {
+func TestTransferLeadership(t *testing.T) {
 	c := newCluster(t, 3).begin()
 	leader := c.leader()
 	must.NoError(t, c.running[leader].TransferLeadership(t.Context()))
@@ -115,14 +115,14 @@
 	})
 }
 
-// Guards against a data folder that makes a controller forget its votes or its log.
+// Guards against a controller that starts on a damaged data folder and so forgets its votes or its log.
 func TestFolderRefused(t *testing.T) {
 	assertRefused := func(t *testing.T, c *cluster, bootstrap bool, text string) {
 		t.Helper()
 		controller := c.controller(0, bootstrap)
 		must.ErrorContains(t, controller.Open(), text)
 	}
-	used := func(t *testing.T) *cluster {
+	usedFolder := func(t *testing.T) *cluster {
 		c := newCluster(t, 1)
 		c.consensus.SnapshotEvery, c.consensus.KeepEntries = 5, 0
 		c.begin()
@@ -144,33 +144,33 @@
 		}
 		must.Positive(t, removed)
 	}
-	t.Run("bootstrap again", func(t *testing.T) { assertRefused(t, used(t), true, "not new") })
+	t.Run("bootstrap again", func(t *testing.T) { assertRefused(t, usedFolder(t), true, "not new") })
 	t.Run("nobody to join", func(t *testing.T) { assertRefused(t, newCluster(t, 1), false, "with -bootstrap") })
 	t.Run("journal lost", func(t *testing.T) {
-		c := used(t)
+		c := usedFolder(t)
 		remove(t, c, ".journal")
 		assertRefused(t, c, false, "lost its journal")
 		assertRefused(t, c, false, "lost its journal") // the first start created a journal
 	})
 	t.Run("snapshot lost", func(t *testing.T) {
-		c := used(t)
+		c := usedFolder(t)
 		remove(t, c, ".snapshot")
 		assertRefused(t, c, false, "newest snapshot ends at 0")
 	})
 	t.Run("whole", func(t *testing.T) {
-		c := used(t)
+		c := usedFolder(t)
 		c.start(0, false)
 		c.assertAccepted(20)
 	})
 }
 
-// Guards against a controller that goes on after a sync that failed.
+// Guards against a controller that continues after a failed sync.
 func TestSyncFails(t *testing.T) {
 	c := newCluster(t, 1)
-	var opened *failing
+	var opened *failingFolder
 	c.openFolder = func(path string) (folder, error) {
 		disk, err := journaler.OpenDisk(path)
-		opened = &failing{Disk: disk}
+		opened = &failingFolder{Disk: disk}
 		return opened, err
 	}
 	c.begin()
@@ -179,7 +179,7 @@
 	must.Error(t, err)
 	must.ErrorIs(t, c.running[0].group.Wait(), journaler.ErrFailed)
 	must.True(t, errors.Is(c.running[0].group.Wait(), errDisk))
-	t.Run("the stop ends at once", func(t *testing.T) { // guards against a process that waits for an answer of its own ended control loop
+	t.Run("the stop ends at once", func(t *testing.T) { // guards against a stop that waits for an answer of the control loop, which has ended
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 		defer cancel()
 		must.ErrorContains(t, c.running[0].TransferLeadership(ctx), "has ended")
--- a/controller/server/fromsettings.go
+++ b/controller/server/fromsettings.go
@@ -7,15 +7,15 @@
 	"oleandertally/state/replicator"
 )
 
-// jobRetention is how long an ended job of a queue is remembered.
+// jobRetention is how long an ended job of a queue is kept by default.
 const jobRetention = 10 * time.Minute
 
-// FromSettings returns a controller of which Security, Metrics, Health and Log are still to be set.
+// FromSettings returns a controller. The caller still sets Security, Metrics, Health and Log.
 func FromSettings(settings configurator.ControllerSettings) *Controller {
 	consensus := replicator.Defaults()
 	consensus.Heartbeat, consensus.Lease = settings.Heartbeat, settings.LeaderLease
 	consensus.ElectionTimeout, consensus.SnapshotEvery = settings.ElectionTimeout, settings.SnapshotAfter
-	// A follower that was away for a quarter of the time between two snapshots needs no snapshot.
+	// A follower that was unreachable for up to a quarter of the time between two snapshots catches up without one.
 	consensus.KeepEntries = settings.SnapshotAfter / 4
 	c := &Controller{Name: settings.Name, Zone: settings.Zone, Addr: settings.Addr, DataFolder: settings.DataFolder,
 		MemberLease: settings.MemberLease, MaxSubmissions: settings.MaxSubmissions, MaxBatch: settings.MaxBatch,
--- a/controller/server/guard.go
+++ b/controller/server/guard.go
@@ -12,7 +12,7 @@
 	"oleandertally/state/transporter"
 )
 
-// guard says who may call what at a controller.
+// guard lists the roles that may call each method of a controller.
 var guard = authenticator.Guard{
 	encoder.Registry_Propose_FullMethodName:     {specifier.Entry},
 	encoder.Registry_Attend_FullMethodName:      {specifier.Entry, specifier.Agent},
@@ -26,7 +26,7 @@
 	transporter.Replica_Join_FullMethodName:     {specifier.Controller},
 }
 
-// checkPeer refuses a message that names another process than the certificate of its connection.
+// checkPeer rejects a message whose sender is not the process that the connection's certificate names.
 func checkPeer(ctx context.Context, security *authenticator.Authenticator, role specifier.Role, name string) error {
 	if err := security.CheckPeer(ctx, authenticator.Peer{Role: role, Name: name}); err != nil {
 		return status.Error(codes.PermissionDenied, err.Error())
--- a/controller/server/health.go
+++ b/controller/server/health.go
@@ -10,10 +10,10 @@
 // leaderKnown is the condition of readiness: without a leader the controllers decide nothing.
 const leaderKnown = "LeaderKnown"
 
-// Conditions returns those of readiness, for supervisor.NewHealth.
+// Conditions returns the conditions of readiness, for supervisor.NewHealth.
 func Conditions() []string { return []string{leaderKnown} }
 
-// Probe passes an event through the control goroutine.
+// Probe returns nil once the control goroutine has answered an event.
 func (c *Controller) Probe(ctx context.Context) error {
 	_, err := c.measure(ctx)
 	return err
@@ -25,7 +25,7 @@
 	})
 }
 
-func (c *Controller) followed(log replicator.BecameFollower) {
+func (c *Controller) logFollower(log replicator.BecameFollower) {
 	if log.Leader.IsZero() {
 		c.Health.Miss(leaderKnown, "no leader is known")
 	} else {
--- a/controller/server/joiner.go
+++ b/controller/server/joiner.go
@@ -14,36 +14,36 @@
 )
 
 const (
-	// joinEvery is how often a controller asks until it is a voter.
-	joinEvery = 200 * time.Millisecond
-	joinBound = 2 * time.Second
-	// stayEvery is how often a voter makes sure that it still is one.
-	stayEvery = 2 * time.Second
+	// joinRetryInterval is how often a controller that is not a voter asks to join.
+	joinRetryInterval = 200 * time.Millisecond
+	joinTimeout       = 2 * time.Second
+	// membershipCheckInterval is how often a voter asks again, in case it has been removed.
+	membershipCheckInterval = 2 * time.Second
 )
 
 // joiner makes a controller a member of the cluster that the controllers at Peers form.
 type joiner struct {
-	self  replicator.Server
-	peers []netip.AddrPort
-	pool  *dialer.Pool
-	log   zerolog.Logger
-	stay  bool                    // go on after the controller is a voter: a leader may remove one that was silent
-	known func() []netip.AddrPort // further controllers, as the log tells
+	self       replicator.Server
+	peers      []netip.AddrPort
+	pool       *dialer.Pool
+	log        zerolog.Logger
+	keepMember bool                    // keep asking as a voter: a leader may remove a voter that was unreachable
+	knownPeers func() []netip.AddrPort // controllers in the log's configuration
 }
 
-// run asks until the controller is a voter, or until ctx ends if it is to stay one.
+// run asks until the controller is a voter or, with keepMember, until ctx ends.
 func (j *joiner) run(ctx context.Context) error {
 	joined := false
 	for next := 0; ; next++ {
-		peers := append(j.known(), j.peers...)
-		peer, wait := peers[next%len(peers)], joinEvery
+		peers := append(j.knownPeers(), j.peers...)
+		peer, wait := peers[next%len(peers)], joinRetryInterval
 		member, err := j.ask(ctx, peer)
 		switch {
-		case member && !j.stay:
+		case member && !j.keepMember:
 			j.log.Info().Str("Event", "Joined").Msg("this controller is a voter")
 			return nil
 		case member:
-			wait = stayEvery
+			wait = membershipCheckInterval
 			if !joined {
 				j.log.Info().Str("Event", "Joined").Msg("this controller is a voter")
 			}
@@ -61,7 +61,7 @@
 	}
 }
 
-// ask asks one controller and, if it names another leader, that one.
+// ask asks one controller and, if the reply names a leader, that leader. It reports whether this controller is a voter.
 func (j *joiner) ask(ctx context.Context, addr netip.AddrPort) (bool, error) {
 	reply, err := j.send(ctx, addr)
 	if err != nil || reply.Leader == "" {
@@ -80,7 +80,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, joinBound)
+	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	reply, err := transporter.NewReplicaClient(conn).Join(ctx, &transporter.JoinRequest{Server: transporter.EncodeServer(j.self)})
 	return reply, errors.Wrapf(err, "controller: ask %s to join", addr)
--- a/controller/server/metrics.go
+++ b/controller/server/metrics.go
@@ -6,10 +6,10 @@
 	"oleandertally/core/specifier"
 )
 
-// MetricsHandler serves the metrics. Figures of the state are read when they are asked for, so that they
-// cost the control goroutine nothing in between.
+// MetricsHandler serves the metrics. It measures the control state on each request only, so that the
+// control goroutine does no work for metrics in between.
 func (c *Controller) MetricsHandler() http.Handler {
-	pages := c.Metrics.Handler()
+	metrics := c.Metrics.Handler()
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		measured, err := c.measure(r.Context())
 		if err != nil {
@@ -21,22 +21,22 @@
 		c.Metrics.SetSubmissions(measured.Submissions)
 		c.Metrics.SetRevision(measured.Revision)
 		c.setMembers(measured.Members)
-		pages.ServeHTTP(w, r)
+		metrics.ServeHTTP(w, r)
 	})
 }
 
 func (c *Controller) setMembers(members []specifier.Member) {
-	type kind struct {
+	type group struct {
 		role  specifier.Role
 		state specifier.MemberState
 	}
-	counts := make(map[kind]int)
+	counts := make(map[group]int)
 	for _, member := range members {
-		counts[kind{member.Role, member.State}]++
+		counts[group{member.Role, member.State}]++
 	}
 	for _, role := range []specifier.Role{specifier.Entry, specifier.Agent} {
 		for _, state := range []specifier.MemberState{specifier.Up, specifier.Draining, specifier.Down} {
-			c.Metrics.SetMembers(role, state, counts[kind{role, state}])
+			c.Metrics.SetMembers(role, state, counts[group{role, state}])
 		}
 	}
 }
--- a/controller/server/operators.go
+++ b/controller/server/operators.go
@@ -9,10 +9,10 @@
 	"oleandertally/core/specifier"
 )
 
-// operatorStream is the stream of the commands of all operators; those of members have others.
+// operatorStream is the stream number of all operators' commands. Members' streams have higher numbers.
 const operatorStream sequencer.Stream = 1
 
-// operators serves the operators' command line.
+// operators answers the requests of the operators' command line.
 type operators struct {
 	decisions calls[specifier.Decision]
 	reads     calls[driver.ReadAnswered]
--- a/controller/server/peername.go
+++ b/controller/server/peername.go
@@ -2,7 +2,7 @@
 
 import "net/netip"
 
-// Peer is a controller as the settings list it.
+// Peer is a controller in the list of the settings.
 type Peer struct {
 	Name string
 	Addr netip.AddrPort // gRPC
--- a/controller/server/peers.go
+++ b/controller/server/peers.go
@@ -12,7 +12,7 @@
 	"oleandertally/state/replicator"
 )
 
-// peers sends to the other controllers. It is used by the control goroutine.
+// peers sends to the other controllers. Only the control goroutine uses it.
 type peers struct {
 	group    *errgroup.Group
 	ctx      context.Context
@@ -21,12 +21,12 @@
 	mailbox  *looper.Mailbox[driver.Event]
 	self     netip.AddrPort
 	contacts *contacts
-	settings []Peer              // addresses until the log tells them
-	servers  []replicator.Server // in force
-	open     map[netip.AddrPort]*peer
+	settings []Peer              // used for controllers that are not in servers
+	servers  []replicator.Server // of the configuration in force
+	open     map[netip.AddrPort]*peerSender
 }
 
-// addr returns where a server is. A server that is not in the log yet is found by its name.
+// addr returns the address of a server: from the log, else from the settings by name, else from the server's own messages.
 func (p *peers) addr(id replicator.ServerID) (netip.AddrPort, bool) {
 	for _, server := range p.servers {
 		if server.ID == id {
@@ -48,9 +48,9 @@
 	}
 	target := p.open[addr]
 	if target == nil {
-		target = &peer{addr: addr, self: p.self, pool: p.pool, box: looper.NewOutbox[replicator.Envelope]()}
+		target = &peerSender{addr: addr, self: p.self, pool: p.pool, box: looper.NewOutbox[replicator.Envelope]()}
 		if p.open == nil {
-			p.open = make(map[netip.AddrPort]*peer)
+			p.open = make(map[netip.AddrPort]*peerSender)
 		}
 		p.open[addr] = target
 		p.group.Go(func() error { return target.run(p.ctx) })
@@ -58,7 +58,7 @@
 	target.box.Put(envelope)
 }
 
-// sendSnapshot streams a snapshot in the background and reports the end to the log.
+// sendSnapshot streams a snapshot in the background and reports success or failure to the log.
 func (p *peers) sendSnapshot(action replicator.SendSnapshot) {
 	addr, ok := p.addr(action.Envelope.To)
 	p.group.Go(func() error {
--- a/controller/server/peer.go
+++ b/controller/server/peersender.go
@@ -15,36 +15,36 @@
 )
 
 const (
-	// peerRedial is how long to wait before a broken stream to a peer is opened again.
-	peerRedial = 100 * time.Millisecond
-	// peerBacklog is how many envelopes wait for a peer that does not take them; the log resends
-	// what is dropped.
-	peerBacklog = 4096
+	// peerRedialDelay is the wait before a broken stream to a peer is opened again.
+	peerRedialDelay = 100 * time.Millisecond
+	// maxPeerBacklog is the maximum number of envelopes that wait for a slow peer. Older ones are dropped; the log
+	// resends them.
+	maxPeerBacklog = 4096
 )
 
-// peer sends to one other controller.
-type peer struct {
+// peerSender sends envelopes to one other controller.
+type peerSender struct {
 	addr netip.AddrPort
-	self netip.AddrPort // told to the peer, which may not know it
+	self netip.AddrPort // sent with each envelope: the peer may not know it
 	pool *dialer.Pool
 	box  *looper.Outbox[replicator.Envelope]
 }
 
-// run sends envelopes until ctx ends. What can't be sent is lost: the log resends it. A stream is
-// opened only once there is something to send.
-func (p *peer) run(ctx context.Context) error {
+// run sends envelopes until ctx ends. Envelopes that can't be sent are dropped; the log resends them. A stream is
+// opened only when there is an envelope to send.
+func (p *peerSender) run(ctx context.Context) error {
 	for {
 		envelopes, err := p.box.Take(ctx)
 		if err != nil {
 			return err
 		}
 		if err := p.session(ctx, envelopes); err != nil && ctx.Err() == nil {
-			looper.Pause(ctx, peerRedial)
+			looper.Pause(ctx, peerRedialDelay)
 		}
 	}
 }
 
-func (p *peer) session(ctx context.Context, envelopes []replicator.Envelope) error {
+func (p *peerSender) session(ctx context.Context, envelopes []replicator.Envelope) error {
 	conn, err := p.pool.Conn(p.addr)
 	if err != nil {
 		return err
@@ -56,7 +56,7 @@
 		return errors.Wrapf(err, "controller: open the stream to %s", p.addr)
 	}
 	for {
-		for _, envelope := range envelopes[max(len(envelopes)-peerBacklog, 0):] {
+		for _, envelope := range envelopes[max(len(envelopes)-maxPeerBacklog, 0):] {
 			message := transporter.EncodeEnvelope(envelope)
 			message.Addr = p.self.String()
 			if err := stream.Send(message); err != nil {
@@ -69,8 +69,8 @@
 	}
 }
 
-// install streams the newest snapshot to a controller that is far behind. It fails when a newer
-// one has replaced the one that the log means.
+// install streams the newest snapshot to a controller that needs entries which the log no longer has. It fails if a newer
+// snapshot has replaced the one of the action.
 func install(ctx context.Context, pool *dialer.Pool, addr netip.AddrPort, self netip.AddrPort, action replicator.SendSnapshot, store *snapshotter.Store) error {
 	newest, err := store.Newest()
 	if err != nil {
--- a/controller/server/perform.go
+++ b/controller/server/perform.go
@@ -7,7 +7,7 @@
 	"oleandertally/state/replicator"
 )
 
-// perform runs on the control goroutine and does not block.
+// perform carries out an action of the control loop. It runs on the control goroutine and does not block.
 func (c *Controller) perform(action driver.Action) {
 	switch {
 	case action.Joined != nil:
@@ -15,7 +15,7 @@
 	case action.Read != nil:
 		c.operators.reads.answer(action.Read.Ticket, *action.Read)
 	case action.LeadershipTransferred != nil:
-		c.handOvers.answer(action.LeadershipTransferred.Ticket, *action.LeadershipTransferred)
+		c.transfers.answer(action.LeadershipTransferred.Ticket, *action.LeadershipTransferred)
 	case action.Measured != nil:
 		c.measures.answer(action.Measured.Ticket, *action.Measured)
 	case action.Batched > 0:
@@ -29,11 +29,11 @@
 			c.operators.decisions.answer(control.Sequence, control.Decision)
 			break
 		}
-		c.registry.propose.put(control.Stream, &encoder.Verdict{Sequence: control.Sequence, Decision: encoder.EncodeDecision(control.Decision)})
+		c.registry.proposers.put(control.Stream, &encoder.Verdict{Sequence: control.Sequence, Decision: encoder.EncodeDecision(control.Decision)})
 	case sequencer.RecordEvent:
 		c.Events.Add(control.Event)
 	case sequencer.Push:
-		c.registry.attend.put(control.Stream, control.Update)
+		c.registry.sessions.put(control.Stream, control.Update)
 	}
 	switch log := action.Log.(type) {
 	case replicator.Persist:
@@ -58,6 +58,6 @@
 		c.Log.Info().Str("Event", "BecameLeader").Uint64("Term", uint64(log.Term)).Msg("this controller leads")
 	case replicator.BecameFollower:
 		c.queues.setLeader(false, c.queues.addrOf(log.Leader))
-		c.followed(log)
+		c.logFollower(log)
 	}
 }
--- a/controller/server/performqueue.go
+++ b/controller/server/performqueue.go
@@ -5,35 +5,35 @@
 	"oleandertally/core/encoder"
 )
 
-// performQueue runs on the control goroutine and does not block.
+// performQueue carries out an action of the dispatcher. It runs on the control goroutine and does not block.
 func (c *Controller) performQueue(action dispatcher.Action) {
 	switch action := action.(type) {
 	case dispatcher.Reply:
 		reply := encoder.EncodeQueueReply(action.Sequence, action.Reply)
 		c.queues.calls.put(action.Stream, &encoder.QueueReplies{Items: []*encoder.QueueReply{reply}})
 	case dispatcher.Order:
-		c.queues.attends.put(action.Stream, encoder.EncodeLeaseOrder(action.Order))
+		c.queues.sessions.put(action.Stream, encoder.EncodeLeaseOrder(action.Order))
 	case dispatcher.LogEvent:
-		c.logNote(action)
+		c.logEvent(action)
 	}
 }
 
-// logNote writes one line for a decision. Fields that do not apply are left out.
-func (c *Controller) logNote(note dispatcher.LogEvent) {
+// logEvent writes one log line for a decision, without the fields that do not apply.
+func (c *Controller) logEvent(event dispatcher.LogEvent) {
 	if c.Logged != nil {
-		c.Logged(note)
+		c.Logged(event)
 	}
-	line := c.Log.Info().Str("Event", note.Event)
-	for _, field := range []struct{ name, value string }{{"Job", note.Job}, {"Task", note.Task}, {"Agent", note.Agent}, {"Queue", note.Queue}, {"Detail", note.Detail}} {
+	line := c.Log.Info().Str("Event", event.Event)
+	for _, field := range []struct{ name, value string }{{"Job", event.Job}, {"Task", event.Task}, {"Agent", event.Agent}, {"Queue", event.Queue}, {"Detail", event.Detail}} {
 		if field.value != "" {
 			line = line.Str(field.name, field.value)
 		}
 	}
-	if note.Run != 0 {
-		line = line.Uint64("Run", note.Run)
+	if event.Run != 0 {
+		line = line.Uint64("Run", event.Run)
 	}
-	if note.Age != 0 {
-		line = line.Dur("AgeMillis", note.Age)
+	if event.Age != 0 {
+		line = line.Dur("AgeMillis", event.Age)
 	}
-	line.Int("Left", note.Count).Send()
+	line.Int("Left", event.Count).Send()
 }
--- a/controller/server/queues.go
+++ b/controller/server/queues.go
@@ -18,22 +18,23 @@
 	"oleandertally/state/replicator"
 )
 
-// queues serves the entries and agents of the queues. Every stream first learns whether this controller leads.
+// queues serves the streams of entries and agents that the dispatcher uses. The first message on each stream is a welcome,
+// which reports whether this controller leads.
 type queues struct {
 	encoder.UnimplementedQueueKeeperServer
 
-	mailbox *looper.Mailbox[driver.Event]
-	last    atomic.Uint64
-	calls   streams[dispatcher.Stream, *encoder.QueueReplies]
-	attends streams[dispatcher.Stream, *encoder.QueueOrder]
+	mailbox  *looper.Mailbox[driver.Event]
+	last     atomic.Uint64
+	calls    streams[dispatcher.Stream, *encoder.QueueReplies]
+	sessions streams[dispatcher.Stream, *encoder.QueueOrder]
 
 	mutex   sync.Mutex
 	welcome *encoder.QueueWelcome
 	servers []replicator.Server
 }
 
-// current returns the newest welcome.
-func (q *queues) current() *encoder.QueueWelcome {
+// currentWelcome returns the welcome for new streams.
+func (q *queues) currentWelcome() *encoder.QueueWelcome {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	if q.welcome == nil {
@@ -46,7 +47,7 @@
 	q.mutex.Lock()
 	q.servers = servers
 	q.mutex.Unlock()
-	q.change(func(m *encoder.QueueWelcome) {
+	q.updateWelcome(func(m *encoder.QueueWelcome) {
 		m.Controllers = nil
 		for _, server := range servers {
 			m.Controllers = append(m.Controllers, server.Addr.String())
@@ -55,7 +56,7 @@
 }
 
 func (q *queues) setLeader(leading bool, leader netip.AddrPort) {
-	q.change(func(m *encoder.QueueWelcome) {
+	q.updateWelcome(func(m *encoder.QueueWelcome) {
 		m.Leading, m.Leader = leading, ""
 		if leader.IsValid() {
 			m.Leader = leader.String()
@@ -63,14 +64,14 @@
 	})
 }
 
-func (q *queues) change(edit func(*encoder.QueueWelcome)) {
-	next := proto.Clone(q.current()).(*encoder.QueueWelcome)
+func (q *queues) updateWelcome(edit func(*encoder.QueueWelcome)) {
+	next := proto.Clone(q.currentWelcome()).(*encoder.QueueWelcome)
 	edit(next)
 	q.mutex.Lock()
 	q.welcome = next
 	q.mutex.Unlock()
-	q.calls.all(&encoder.QueueReplies{Welcome: next})
-	q.attends.all(&encoder.QueueOrder{Welcome: next})
+	q.calls.broadcast(&encoder.QueueReplies{Welcome: next})
+	q.sessions.broadcast(&encoder.QueueOrder{Welcome: next})
 }
 
 // addrOf returns the address of a controller, or the zero address.
@@ -85,13 +86,13 @@
 	return netip.AddrPort{}
 }
 
-// Call carries calls of an entry and their replies.
+// Call receives the calls of an entry and sends the replies.
 func (q *queues) Call(stream encoder.QueueKeeper_CallServer) error {
 	id := dispatcher.Stream(q.last.Add(1))
 	box := q.calls.open(id)
 	defer q.calls.close(id)
-	defer q.closed(dispatcher.CallerDisconnected{Stream: id})
-	box.Put(&encoder.QueueReplies{Welcome: q.current()})
+	defer q.notifyClosed(dispatcher.CallerDisconnected{Stream: id})
+	box.Put(&encoder.QueueReplies{Welcome: q.currentWelcome()})
 	group, ctx := errgroup.WithContext(stream.Context())
 	group.Go(func() error { return sendAll(ctx, box, mergeReplies, stream.Send) })
 	group.Go(func() error {
@@ -118,13 +119,13 @@
 	return group.Wait()
 }
 
-// Attend carries the reports of an agent and its orders.
+// Attend receives the reports of an agent and sends its orders.
 func (q *queues) Attend(stream encoder.QueueKeeper_AttendServer) error {
 	id := dispatcher.Stream(q.last.Add(1))
-	box := q.attends.open(id)
-	defer q.attends.close(id)
-	defer q.closed(dispatcher.AgentDisconnected{Stream: id})
-	box.Put(&encoder.QueueOrder{Welcome: q.current()})
+	box := q.sessions.open(id)
+	defer q.sessions.close(id)
+	defer q.notifyClosed(dispatcher.AgentDisconnected{Stream: id})
+	box.Put(&encoder.QueueOrder{Welcome: q.currentWelcome()})
 	group, ctx := errgroup.WithContext(stream.Context())
 	group.Go(func() error { return sendAll(ctx, box, nil, stream.Send) })
 	group.Go(func() error {
@@ -142,7 +143,7 @@
 	return group.Wait()
 }
 
-// sendAll sends what the box holds until ctx ends. merge makes fewer messages of many.
+// sendAll sends the items of the box until ctx ends. merge combines items into fewer messages; it may be nil.
 func sendAll[T any](ctx context.Context, box *looper.Outbox[T], merge func([]T) []T, send func(T) error) error {
 	for {
 		items, err := box.Take(ctx)
@@ -174,15 +175,15 @@
 	return merged
 }
 
-// closed tells the control loop that a stream ended, unless the loop has ended too.
-func (q *queues) closed(event dispatcher.Event) {
-	ctx, cancel := context.WithTimeout(context.Background(), closeBound)
+// notifyClosed reports to the control loop that a stream ended. It gives up after closeTimeout, as the loop may have ended too.
+func (q *queues) notifyClosed(event dispatcher.Event) {
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	_ = q.mailbox.Send(ctx, driver.Event{Queue: event})
 }
 
-// others returns a function that lists the other controllers in force.
-func (q *queues) others(self netip.AddrPort) func() []netip.AddrPort {
+// otherControllers returns a function that lists the addresses of the configuration in force, except self.
+func (q *queues) otherControllers(self netip.AddrPort) func() []netip.AddrPort {
 	return func() []netip.AddrPort {
 		q.mutex.Lock()
 		defer q.mutex.Unlock()
--- a/controller/server/recovery.go
+++ b/controller/server/recovery.go
@@ -6,20 +6,20 @@
 	"oleandertally/state/replicator"
 )
 
-// recovery is what a data folder held at the start.
+// recovery is the content of a data folder when the controller starts.
 type recovery struct {
 	disk    uint64 // identity of the data folder
 	log     replicator.Recovered
 	content []byte // of the newest snapshot; nil when there is none
 }
 
-// isNew reports whether the folder never took part in a cluster. The term of a bootstrap that a crash
-// interrupted counts as new: no leader has term 1.
+// isNew reports whether the folder never took part in a cluster. A folder with term 1 alone is new too: a bootstrap that a
+// crash interrupted leaves it, and no leader has term 1.
 func (r recovery) isNew() bool {
 	return r.log.State.Term <= 1 && len(r.log.Entries) == 0 && r.log.Snapshot.Index == 0
 }
 
-// check refuses a start that the folder does not fit. peers counts this controller too.
+// check returns an error if the folder does not allow this start. peers counts this controller too.
 func (r recovery) check(bootstrap bool, peers int) error {
 	switch {
 	case r.log.Snapshot.Index > 0 && r.log.State.Term == 0:
--- a/controller/server/registry.go
+++ b/controller/server/registry.go
@@ -16,22 +16,22 @@
 	"oleandertally/core/specifier"
 )
 
-// registry serves entries and agents.
+// registry serves entries and agents as members and as proposers of commands.
 type registry struct {
 	encoder.UnimplementedRegistryServer
 
-	mailbox  *looper.Mailbox[driver.Event]
-	security *authenticator.Authenticator
-	last     atomic.Uint64
-	propose  streams[sequencer.Stream, *encoder.Verdict]
-	attend   streams[sequencer.Stream, specifier.Update]
+	mailbox   *looper.Mailbox[driver.Event]
+	security  *authenticator.Authenticator
+	last      atomic.Uint64
+	proposers streams[sequencer.Stream, *encoder.Verdict]
+	sessions  streams[sequencer.Stream, specifier.Update]
 }
 
-// Propose carries commands to the log and their decisions back.
+// Propose receives commands for the log and sends their decisions.
 func (r *registry) Propose(stream encoder.Registry_ProposeServer) error {
 	id := sequencer.Stream(r.last.Add(1))
-	box := r.propose.open(id)
-	defer r.propose.close(id)
+	box := r.proposers.open(id)
+	defer r.proposers.close(id)
 	group, ctx := errgroup.WithContext(stream.Context())
 	group.Go(func() error {
 		for {
@@ -75,12 +75,12 @@
 	return nil
 }
 
-// Attend keeps one member recorded.
+// Attend is the session of one member: it receives heartbeats, which renew the member's lease, and sends updates.
 func (r *registry) Attend(stream encoder.Registry_AttendServer) error {
 	id := sequencer.Stream(r.last.Add(1))
-	box := r.attend.open(id)
-	defer r.attend.close(id)
-	defer r.closed(id)
+	box := r.sessions.open(id)
+	defer r.sessions.close(id)
+	defer r.notifyClosed(id)
 	group, ctx := errgroup.WithContext(stream.Context())
 	group.Go(func() error {
 		for {
@@ -104,16 +104,16 @@
 			if err != nil {
 				return err
 			}
-			presence, err := encoder.DecodeHeartbeat(message)
+			heartbeat, err := encoder.DecodeHeartbeat(message)
 			if err != nil {
 				return status.Error(codes.InvalidArgument, err.Error())
 			}
-			if member := presence.Member; member != nil {
+			if member := heartbeat.Member; member != nil {
 				if err := checkPeer(ctx, r.security, member.Role, member.Name); err != nil {
 					return err
 				}
 			}
-			event := sequencer.HeartbeatReceived{Stream: id, Heartbeat: presence}
+			event := sequencer.HeartbeatReceived{Stream: id, Heartbeat: heartbeat}
 			if err := r.mailbox.Send(ctx, driver.Event{Control: event}); err != nil {
 				return err
 			}
@@ -122,9 +122,9 @@
 	return group.Wait()
 }
 
-// closed tells the control loop that a stream ended, unless the loop has ended too.
-func (r *registry) closed(id sequencer.Stream) {
-	ctx, cancel := context.WithTimeout(context.Background(), closeBound)
+// notifyClosed reports to the control loop that a stream ended. It gives up after closeTimeout, as the loop may have ended too.
+func (r *registry) notifyClosed(id sequencer.Stream) {
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	_ = r.mailbox.Send(ctx, driver.Event{Control: sequencer.StreamClosed{Stream: id}})
 }
--- a/controller/server/replica.go
+++ b/controller/server/replica.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// Install stores the content of a snapshot and then offers it to the log.
+// Install stores the content of a snapshot and then submits it to the log.
 func (r *replica) Install(stream transporter.Replica_InstallServer) error {
 	receiver, err := r.disk.receive()
 	if err != nil {
@@ -63,46 +63,46 @@
 	for {
 		chunk, err := stream.Recv()
 		if err != nil {
-			r.disk.drop(receiver)
+			r.disk.discard(receiver)
 			return err
 		}
 		meta, err := receiver.Add(snapshotter.Chunk{Offset: chunk.Offset, Data: chunk.Data, Last: chunk.Envelope != nil})
 		if err != nil {
-			r.disk.drop(receiver)
+			r.disk.discard(receiver)
 			return status.Error(codes.InvalidArgument, err.Error())
 		}
 		if chunk.Envelope == nil {
 			continue
 		}
-		if err := r.offer(stream, receiver, meta, chunk.Envelope); err != nil {
+		if err := r.submit(stream, receiver, meta, chunk.Envelope); err != nil {
 			return err
 		}
 		return stream.SendAndClose(&transporter.Stored{})
 	}
 }
 
-// offer hands a stored snapshot to the log. The log restores it or leaves it.
-func (r *replica) offer(stream transporter.Replica_InstallServer, receiver *snapshotter.Receiver, meta *snapshotter.Meta, message *transporter.Envelope) error {
+// submit sends a stored snapshot to the control loop, where the log restores or ignores it.
+func (r *replica) submit(stream transporter.Replica_InstallServer, receiver *snapshotter.Receiver, meta *snapshotter.Meta, message *transporter.Envelope) error {
 	envelope, err := transporter.DecodeEnvelope(message)
 	install, ok := envelope.Message.(replicator.InstallSnapshot)
 	if err != nil || !ok || uint64(install.Snapshot.Index) != meta.Index {
-		r.disk.drop(receiver)
+		r.disk.discard(receiver)
 		return status.Error(codes.InvalidArgument, "Chunk.Envelope: expected InstallSnapshot of the same index")
 	}
 	if err := checkPeer(stream.Context(), r.security, specifier.Controller, envelope.From.Name); err != nil {
-		r.disk.drop(receiver)
+		r.disk.discard(receiver)
 		return err
 	}
 	r.contacts.learn(envelope.From, message.Addr)
 	content, err := receiver.Content()
 	if err != nil {
-		r.disk.drop(receiver)
+		r.disk.discard(receiver)
 		return status.Error(codes.Internal, err.Error())
 	}
 	return r.mailbox.Send(stream.Context(), driver.Event{Log: replicator.Received{Envelope: envelope}, Content: content})
 }
 
-// Join asks for membership in the cluster.
+// Join forwards a controller's request for membership in the cluster to the control loop.
 func (r *replica) Join(ctx context.Context, request *transporter.JoinRequest) (*transporter.JoinReply, error) {
 	server, err := transporter.DecodeServer(request.Server)
 	if err != nil {
--- a/controller/server/snapshotahead_test.go
+++ b/controller/server/snapshotahead_test.go
@@ -11,8 +11,8 @@
 	"oleandertally/core/specifier"
 )
 
-// Guards against a controller that can't start, or appends at the wrong place, after a crash between the
-// installation of a snapshot and the reset of the journal: the journal ends before the snapshot then.
+// Guards against a controller that can't start, or appends at the wrong index, after a crash between the installation of a
+// snapshot and the reset of the journal. The journal then ends before the snapshot.
 func TestSnapshotAhead(t *testing.T) {
 	c := newCluster(t, 1)
 	c.consensus.SnapshotEvery, c.consensus.KeepEntries = 20, 0
@@ -28,19 +28,19 @@
 		return names
 	}
 	accept(0, 5)
-	early := journals()
-	must.Len(t, 1, early)
-	old, err := os.ReadFile(early[0])
+	earlyJournals := journals()
+	must.Len(t, 1, earlyJournals)
+	earlyContent, err := os.ReadFile(earlyJournals[0])
 	must.NoError(t, err)
 	accept(5, 60)
 	must.ErrorIs(t, c.kill(0), context.Canceled)
 	for _, name := range journals() {
 		must.NoError(t, os.Remove(name))
 	}
-	must.NoError(t, os.WriteFile(early[0], old, 0o600))
+	must.NoError(t, os.WriteFile(earlyJournals[0], earlyContent, 0o600))
 	for round := range 2 {
 		c.start(0, false)
-		c.assertAccepted(20) // the snapshot holds more than these
+		c.assertAccepted(20) // all of them are in the snapshot
 		must.Eq(t, specifier.Accepted, c.propose(c.accept(100+round)).Verdict)
 		must.ErrorIs(t, c.kill(0), context.Canceled)
 	}
--- a/controller/server/stop.go
+++ b/controller/server/stop.go
@@ -10,17 +10,16 @@
 	"oleandertally/core/supervisor"
 )
 
-// Steps are those of a planned stop, while Run goes on.
+// Steps returns the steps of a planned stop. Run must still serve while they run.
 func (c *Controller) Steps() []supervisor.Step {
 	return []supervisor.Step{{Name: "HandOver", Run: c.TransferLeadership}}
 }
 
-// HandOver gives the leadership to another voter and returns once that one leads. It returns
-// an error when no other voter can take it; stopping is safe then too, but the others elect a leader
-// only after the election timeout.
+// TransferLeadership makes another voter the leader and returns once it leads. It returns an error if no other
+// voter can lead. Stopping is still safe then, but the others elect a leader only after the election timeout.
 func (c *Controller) TransferLeadership(ctx context.Context) error {
 	for !c.hasEnded() {
-		answer, err := c.handOverOnce(ctx)
+		answer, err := c.tryTransfer(ctx)
 		switch {
 		case err == nil && answer.Detail == "":
 			return nil
@@ -33,7 +32,7 @@
 	return errors.New("controller: this controller has ended")
 }
 
-// hasEnded reports whether Run has returned, as it does after a fault of the disk: then there is nothing to hand over.
+// hasEnded reports whether Run has returned, for example after a fault of the disk. The controller no longer leads then.
 func (c *Controller) hasEnded() bool {
 	select {
 	case <-c.ended:
@@ -43,12 +42,12 @@
 	}
 }
 
-// handOverOnce gives up after two election timeouts: a transfer to a voter that does not catch up within one
-// has ended without an answer.
-func (c *Controller) handOverOnce(ctx context.Context) (driver.LeadershipTransferred, error) {
+// tryTransfer gives up after two election timeouts: if the chosen voter does not catch up within one, the transfer ends
+// without an answer.
+func (c *Controller) tryTransfer(ctx context.Context) (driver.LeadershipTransferred, error) {
 	ctx, cancel := context.WithTimeout(ctx, max(2*c.Consensus.ElectionTimeout, time.Second))
 	defer cancel()
-	return c.handOvers.ask(ctx, func(ticket uint64) driver.Event {
+	return c.transfers.ask(ctx, func(ticket uint64) driver.Event {
 		return driver.Event{TransferLeadership: &driver.TransferLeadership{Ticket: ticket}}
 	})
 }
--- a/controller/server/streams.go
+++ b/controller/server/streams.go
@@ -6,7 +6,8 @@
 	"oleandertally/core/looper"
 )
 
-// streams maps open streams, by the number that the control goroutine knows, to the queues of their sending goroutines.
+// streams holds the outbox of each open stream, by the number under which the control goroutine knows the stream. The
+// stream's sending goroutine empties the outbox.
 type streams[K comparable, T any] struct {
 	mutex sync.Mutex
 	boxes map[K]*looper.Outbox[T]
@@ -39,8 +40,8 @@
 	}
 }
 
-// all queues item for every open stream.
-func (s *streams[K, T]) all(item T) {
+// broadcast queues item for every open stream.
+func (s *streams[K, T]) broadcast(item T) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, box := range s.boxes {
