--- a/controller/server/controller.go
+++ b/controller/server/controller.go
@@ -71,10 +71,10 @@
 	queues        *queues
 	disk          *disk
 	peers         *peers
-	joins         *calls[driver.JoinAnswered]
+	joins         *pendingCalls[driver.JoinAnswered]
 	operators     *operators
-	transfers     *calls[driver.LeadershipTransferred]
-	measures      *calls[driver.Measured]
+	transfers     *pendingCalls[driver.LeadershipTransferred]
+	measures      *pendingCalls[driver.Measured]
 	fault         chan error
 	ended         chan struct{} // closed when Run has returned
 	recovered     recovery
@@ -134,10 +134,10 @@
 	if c.Clock == nil {
 		c.Clock = time.Now
 	}
-	c.joins = &calls[driver.JoinAnswered]{mailbox: c.mailbox}
-	c.transfers = &calls[driver.LeadershipTransferred]{mailbox: c.mailbox}
-	c.measures = &calls[driver.Measured]{mailbox: c.mailbox}
-	c.operators = &operators{decisions: calls[specifier.Decision]{mailbox: c.mailbox}, reads: calls[driver.ReadAnswered]{mailbox: c.mailbox}}
+	c.joins = &pendingCalls[driver.JoinAnswered]{mailbox: c.mailbox}
+	c.transfers = &pendingCalls[driver.LeadershipTransferred]{mailbox: c.mailbox}
+	c.measures = &pendingCalls[driver.Measured]{mailbox: c.mailbox}
+	c.operators = &operators{decisions: pendingCalls[specifier.Decision]{mailbox: c.mailbox}, reads: pendingCalls[driver.ReadAnswered]{mailbox: c.mailbox}}
 	c.fault, c.ended = make(chan error, 1), make(chan struct{})
 	var err error
 	if c.disk, c.recovered, err = c.openDisk(); err != nil {
--- a/controller/server/operators.go
+++ b/controller/server/operators.go
@@ -14,8 +14,8 @@
 
 // operators answers the requests of the operators' command line.
 type operators struct {
-	decisions calls[specifier.Decision]
-	reads     calls[driver.ReadAnswered]
+	decisions pendingCalls[specifier.Decision]
+	reads     pendingCalls[driver.ReadAnswered]
 }
 
 func (o *operators) propose(ctx context.Context, command specifier.Command) (specifier.Decision, error) {
--- a/controller/server/calls.go
+++ b/controller/server/pendingcalls.go
@@ -8,8 +8,8 @@
 	"oleandertally/core/looper"
 )
 
-// calls matches requests from the network with the answers of the control loop, by a ticket number.
-type calls[T any] struct {
+// pendingCalls matches requests from the network with the answers of the control loop, by a ticket number.
+type pendingCalls[T any] struct {
 	mailbox *looper.Mailbox[driver.Event]
 
 	mutex   sync.Mutex
@@ -18,7 +18,7 @@
 }
 
 // ask sends the event that request makes for a new ticket and waits for the answer. Its error is that of ctx.
-func (c *calls[T]) ask(ctx context.Context, request func(ticket uint64) driver.Event) (T, error) {
+func (c *pendingCalls[T]) ask(ctx context.Context, request func(ticket uint64) driver.Event) (T, error) {
 	ticket, answered := c.open()
 	defer c.close(ticket)
 	var none T
@@ -33,7 +33,7 @@
 	}
 }
 
-func (c *calls[T]) open() (uint64, <-chan T) {
+func (c *pendingCalls[T]) open() (uint64, <-chan T) {
 	answered := make(chan T, 1)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -45,14 +45,14 @@
 	return c.last, answered
 }
 
-func (c *calls[T]) close(ticket uint64) {
+func (c *pendingCalls[T]) close(ticket uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	delete(c.waiting, ticket)
 }
 
 // answer delivers the answer, unless its caller has stopped waiting. It does not block.
-func (c *calls[T]) answer(ticket uint64, answer T) {
+func (c *pendingCalls[T]) answer(ticket uint64, answer T) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if waiting := c.waiting[ticket]; waiting != nil {
--- a/controller/server/replica.go
+++ b/controller/server/replica.go
@@ -22,7 +22,7 @@
 
 	mailbox  *looper.Mailbox[driver.Event]
 	disk     *disk
-	joins    *calls[driver.JoinAnswered]
+	joins    *pendingCalls[driver.JoinAnswered]
 	security *authenticator.Authenticator
 	contacts *contacts
 }
