--- a/controller/server/calls.go
+++ b/controller/server/pendingcalls.go
@@ -8,8 +8,8 @@
 	"oleandertally/core/looper"
 )
 
-// calls ties the network's requests to the answers of the control loop.
-type calls[T any] struct {
+// pendingCalls matches requests from the network with the answers of the control loop, by a ticket number.
+type pendingCalls[T any] struct {
 	mailbox *looper.Mailbox[driver.Event]
 
 	mutex   sync.Mutex
@@ -17,9 +17,8 @@
 	waiting map[uint64]chan T
 }
 
-// ask sends the event that request makes for a ticket and waits for its answer. It returns the
-// context's error.
-func (c *calls[T]) ask(ctx context.Context, request func(ticket uint64) driver.Event) (T, error) {
+// ask sends the event that request makes for a new ticket and waits for the answer. Its error is that of ctx.
+func (c *pendingCalls[T]) ask(ctx context.Context, request func(ticket uint64) driver.Event) (T, error) {
 	ticket, answered := c.open()
 	defer c.close(ticket)
 	var none T
@@ -34,7 +33,7 @@
 	}
 }
 
-func (c *calls[T]) open() (uint64, <-chan T) {
+func (c *pendingCalls[T]) open() (uint64, <-chan T) {
 	answered := make(chan T, 1)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -46,14 +45,14 @@
 	return c.last, answered
 }
 
-func (c *calls[T]) close(ticket uint64) {
+func (c *pendingCalls[T]) close(ticket uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	delete(c.waiting, ticket)
 }
 
-// answer hands over the answer, unless nobody waits for it any more. It does not block.
-func (c *calls[T]) answer(ticket uint64, answer T) {
+// answer delivers the answer, unless its caller has stopped waiting. It does not block.
+func (c *pendingCalls[T]) answer(ticket uint64, answer T) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if waiting := c.waiting[ticket]; waiting != nil {
