--- a/local/simulator/fakeagent_test.go
+++ b/local/simulator/fakeagent_test.go
@@ -8,125 +8,126 @@
 	"oleandertally/core/specifier"
 )
 
-// fakeAgent is an agent: its lease holder and its streams.
+// fakeAgent is an agent process with a real lease holder and a simulated stream to the leader.
 type fakeAgent struct {
-	world    *world
-	name     string
-	worker   *fakeWorker
-	machine  *leaseholder.LeaseHolder
-	life     int // of the process
-	stream   dispatcher.Stream
-	leader   *fakeLeader // nil without a stream
-	term     uint64      // of the leader when the stream opened
-	cutUntil time.Time
-	broken   bool // the stream lost a message: nothing after it arrives either
-	wakeAt   time.Time
-	upTo     time.Time // when the last message to the leader arrives
-	downTo   time.Time
+	world             *world
+	name              string
+	worker            *fakeWorker
+	machine           *leaseholder.LeaseHolder
+	incarnation       int
+	stream            dispatcher.Stream
+	leader            *fakeLeader // nil while no stream is open
+	term              uint64      // the leader's term when the stream opened
+	partitionedUntil  time.Time
+	streamBroken      bool // the stream has lost a message, so later ones are lost too
+	wakeAt            time.Time
+	lastReportArrival time.Time // of the last message to the leader, since messages keep their order
+	lastOrderArrival  time.Time // of the last message from the leader
 }
 
-var lastStream dispatcher.Stream
+var lastStreamID dispatcher.Stream
 
 func newFakeAgent(w *world, name string) *fakeAgent {
 	a := &fakeAgent{world: w, name: name}
 	a.worker = newFakeWorker(w, name)
-	a.worker.announce = a.announced
+	a.worker.announce = a.announceWorker
 	a.start()
 	return a
 }
 
 func (a *fakeAgent) start() {
-	a.life++
+	a.incarnation++
 	a.leader = nil
-	a.machine = &leaseholder.LeaseHolder{Name: a.name, Incarnation: specifier.Incarnation(a.life), GrantSpan: dispatcher.Defaults().GrantSpan,
+	a.machine = &leaseholder.LeaseHolder{Name: a.name, Incarnation: specifier.Incarnation(a.incarnation), GrantSpan: dispatcher.Defaults().GrantSpan,
 		MaxLease: time.Second, StartedAt: a.world.now}
-	a.seek()
-	life := a.life
-	a.world.after(a.world.span(0, time.Second), func() {
-		if a.life == life {
-			a.announced()
+	a.maintainStream()
+	incarnation := a.incarnation
+	a.world.after(a.world.randomDuration(0, time.Second), func() {
+		if a.incarnation == incarnation {
+			a.announceWorker()
 		}
 	})
 }
 
-// restart ends the process at once. The next one knows nothing.
+// restart kills the process and later starts a new one without state.
 func (a *fakeAgent) restart() {
 	w := a.world
-	w.tell("%s is killed", a.name)
-	a.life++
-	a.unlink()
+	w.logf("%s is killed", a.name)
+	a.incarnation++
+	a.closeStream()
 	a.leader, a.machine = nil, nil
-	w.after(w.span(50*time.Millisecond, 800*time.Millisecond), a.start)
+	w.after(w.randomDuration(50*time.Millisecond, 800*time.Millisecond), a.start)
 }
 
-// cut parts the agent from the controllers. Its worker is beside it.
-func (a *fakeAgent) cut() {
+// partition cuts the agent off from the controllers for a while. Its worker, on the same host, stays reachable.
+func (a *fakeAgent) partition() {
 	w := a.world
-	a.cutUntil = w.now.Add(w.span(200*time.Millisecond, 3*time.Second))
-	w.tell("%s is cut off", a.name)
+	a.partitionedUntil = w.now.Add(w.randomDuration(200*time.Millisecond, 3*time.Second))
+	w.logf("%s is partitioned", a.name)
 	if a.leader != nil {
-		w.after(400*time.Millisecond, a.drop)
+		w.after(400*time.Millisecond, a.disconnect)
 	}
 }
 
-// drop ends the stream after a silence.
-func (a *fakeAgent) drop() {
-	a.unlink()
+// disconnect closes the stream and reports this to the lease holder.
+func (a *fakeAgent) disconnect() {
+	a.closeStream()
 	if a.machine != nil {
 		a.step(leaseholder.Disconnected{})
 	}
 }
 
-func (a *fakeAgent) unlink() {
+func (a *fakeAgent) closeStream() {
 	if a.leader == nil {
 		return
 	}
 	leader, stream := a.leader, a.stream
 	a.leader = nil
-	a.world.after(a.world.span(0, 500*time.Millisecond), func() { leader.step(dispatcher.AgentGone{Stream: stream}) })
+	a.world.after(a.world.randomDuration(0, 500*time.Millisecond), func() { leader.step(dispatcher.AgentGone{Stream: stream}) })
 }
 
-// seek looks for the leader now and then.
-func (a *fakeAgent) seek() {
-	w, life := a.world, a.life
-	w.after(w.span(5*time.Millisecond, 60*time.Millisecond), func() {
-		if a.life != life {
+// maintainStream checks the stream at random intervals: it opens one if none is open, and now and then closes one to a
+// former leader.
+func (a *fakeAgent) maintainStream() {
+	w, incarnation := a.world, a.incarnation
+	w.after(w.randomDuration(5*time.Millisecond, 60*time.Millisecond), func() {
+		if a.incarnation != incarnation {
 			return
 		}
-		if a.leader != nil && (w.leading != a.leader.index || a.term != a.leader.term) && w.chance(0.3) {
-			a.drop()
+		if a.leader != nil && (w.leaderIndex != a.leader.index || a.term != a.leader.term) && w.chance(0.3) {
+			a.disconnect()
 		}
-		if a.leader == nil && w.leading >= 0 && !w.now.Before(a.cutUntil) {
-			lastStream++
-			a.stream, a.leader, a.term = lastStream, w.leaders[w.leading], w.leaders[w.leading].term
-			a.broken = false
+		if a.leader == nil && w.leaderIndex >= 0 && !w.now.Before(a.partitionedUntil) {
+			lastStreamID++
+			a.stream, a.leader, a.term = lastStreamID, w.leaders[w.leaderIndex], w.leaders[w.leaderIndex].term
+			a.streamBroken = false
 			a.step(leaseholder.Connected{})
 		}
-		a.seek()
+		a.maintainStream()
 	})
 }
 
-func (a *fakeAgent) announced() {
+func (a *fakeAgent) announceWorker() {
 	if a.machine == nil || !a.worker.up {
 		return
 	}
 	worker := a.worker
 	worker.sequence++
-	a.step(leaseholder.Announced{Sequence: worker.sequence, Worker: specifier.LeasedWorker{ID: a.name + "-worker", Born: worker.born, Pool: poolName,
+	a.step(leaseholder.Announced{Sequence: worker.sequence, Worker: specifier.LeasedWorker{ID: a.name + "-worker", Born: worker.startedAt, Pool: poolName,
 		Capacity: specifier.Resources{MilliCores: workerCores, Memory: 1 << 20}}})
 }
 
-// order carries a message of the leader to the agent. What is on its way when the stream ends is lost.
-func (a *fakeAgent) order(leader *fakeLeader, order dispatcher.Order) {
-	w, life := a.world, a.life
+// deliverOrder sends a message of the leader to the agent. Messages in transit are lost when the stream ends.
+func (a *fakeAgent) deliverOrder(leader *fakeLeader, order dispatcher.Order) {
+	w, incarnation := a.world, a.incarnation
 	if a.leader != leader || order.Stream != a.stream {
 		return
 	}
-	arrives := later(w.now.Add(w.span(time.Millisecond, 4*time.Millisecond)), a.downTo)
-	a.downTo = arrives
+	arrives := latest(w.now.Add(w.randomDuration(time.Millisecond, 4*time.Millisecond)), a.lastOrderArrival)
+	a.lastOrderArrival = arrives
 	w.after(arrives.Sub(w.now), func() {
-		a.broken = a.broken || w.now.Before(a.cutUntil)
-		if a.life == life && a.leader == leader && a.stream == order.Stream && !a.broken {
+		a.streamBroken = a.streamBroken || w.now.Before(a.partitionedUntil)
+		if a.incarnation == incarnation && a.leader == leader && a.stream == order.Stream && !a.streamBroken {
 			a.step(leaseholder.OrderReceived{Order: order.Order})
 		}
 	})
@@ -135,56 +136,56 @@
 func (a *fakeAgent) step(event leaseholder.Event) { a.perform(a.machine.Step(a.world.now, event)) }
 
 func (a *fakeAgent) perform(actions []leaseholder.Action) {
-	w, life := a.world, a.life
-	answer := func(event leaseholder.Event) {
-		if a.life == life {
+	w, incarnation := a.world, a.incarnation
+	deliver := func(event leaseholder.Event) {
+		if a.incarnation == incarnation {
 			a.step(event)
 		}
 	}
 	for _, action := range actions {
 		switch action := action.(type) {
 		case leaseholder.Report:
-			a.report(action.Report)
+			a.sendReport(action.Report)
 		case leaseholder.Start:
-			a.worker.start(action, answer)
+			a.worker.start(action, deliver)
 		case leaseholder.Stop:
-			a.worker.stop(action, answer)
+			a.worker.stop(action, deliver)
 		case leaseholder.Poll:
-			a.worker.hold(action, answer)
+			a.worker.poll(action, deliver)
 		case leaseholder.LogEvent:
-			w.tell("%s: %s task=%s run=%d %s", a.name, action.Event, action.Task, action.Run, action.Detail)
+			w.logf("%s: %s task=%s run=%d %s", a.name, action.Event, action.Task, action.Run, action.Detail)
 		}
 	}
-	a.arm()
+	a.setTimer()
 }
 
-func (a *fakeAgent) report(report specifier.LeaseReport) {
+func (a *fakeAgent) sendReport(report specifier.LeaseReport) {
 	w, leader, stream := a.world, a.leader, a.stream
-	a.broken = a.broken || w.now.Before(a.cutUntil)
-	if leader == nil || a.broken {
+	a.streamBroken = a.streamBroken || w.now.Before(a.partitionedUntil)
+	if leader == nil || a.streamBroken {
 		return
 	}
-	arrives := later(w.now.Add(w.span(time.Millisecond, 4*time.Millisecond)), a.upTo)
-	a.upTo = arrives
+	arrives := latest(w.now.Add(w.randomDuration(time.Millisecond, 4*time.Millisecond)), a.lastReportArrival)
+	a.lastReportArrival = arrives
 	w.after(arrives.Sub(w.now), func() { leader.step(dispatcher.Reported{Stream: stream, Report: report}) })
 }
 
-func (a *fakeAgent) arm() {
+func (a *fakeAgent) setTimer() {
 	next := a.machine.Next()
 	if next.IsZero() || next.Equal(a.wakeAt) {
 		return
 	}
 	a.wakeAt = next
-	life := a.life
+	incarnation := a.incarnation
 	a.world.after(max(next.Sub(a.world.now), 0), func() {
-		if a.life == life {
+		if a.incarnation == incarnation {
 			a.wakeAt = time.Time{}
 			a.perform(a.machine.Expire(a.world.now))
 		}
 	})
 }
 
-func later(a, b time.Time) time.Time {
+func latest(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
 	}
--- a/local/simulator/fakecaller_test.go
+++ b/local/simulator/fakecaller_test.go
@@ -7,25 +7,25 @@
 	"oleandertally/core/specifier"
 )
 
-// fakeCaller hands in one job through an entry, as often as it takes.
+// fakeCaller submits one job through an entry, as often as needed until it is answered.
 type fakeCaller struct {
-	world     *world
-	id        string
-	transient bool
-	stream    dispatcher.Stream
-	leader    *fakeLeader
-	term      uint64
-	lost      bool // a leader that was lost may have acted on it
-	refused   bool // with the promise that it never ran
-	done      bool
-	state     specifier.QueueState
-	accepted  bool
-	began     time.Time
+	world      *world
+	id         string
+	transient  bool
+	stream     dispatcher.Stream
+	leader     *fakeLeader
+	term       uint64
+	mayHaveRun bool // a former leader may have accepted the job
+	refused    bool // with the guarantee that no task of the job ran
+	done       bool
+	state      specifier.QueueState
+	accepted   bool
+	startedAt  time.Time
 }
 
-// kept reports whether the job of that ID is recorded.
-func (w *world) kept(id string) bool {
-	for _, caller := range w.jobs {
+// isRecorded reports whether the replicated log records the job, which is so unless it is transient.
+func (w *world) isRecorded(id string) bool {
+	for _, caller := range w.callers {
 		if caller.id == id {
 			return !caller.transient
 		}
@@ -33,61 +33,61 @@
 	return false
 }
 
-func (c *fakeCaller) begin() {
-	c.began = c.world.now
-	c.send()
+func (c *fakeCaller) start() {
+	c.startedAt = c.world.now
+	c.submit()
 }
 
-// send hands the job to the leader, and looks after it until it is answered.
-func (c *fakeCaller) send() {
+// submit sends the job to the leader, and again after a change of leader, until it is answered.
+func (c *fakeCaller) submit() {
 	w := c.world
 	if c.done {
 		return
 	}
-	if c.leader != nil && (w.leading != c.leader.index || c.leader.term != c.term) {
-		gone, stream := c.leader, c.stream
-		c.leader, c.lost = nil, true
-		w.after(w.span(0, 300*time.Millisecond), func() { gone.step(dispatcher.CallerGone{Stream: stream}) })
+	if c.leader != nil && (w.leaderIndex != c.leader.index || c.leader.term != c.term) {
+		former, stream := c.leader, c.stream
+		c.leader, c.mayHaveRun = nil, true
+		w.after(w.randomDuration(0, 300*time.Millisecond), func() { former.step(dispatcher.CallerGone{Stream: stream}) })
 	}
-	if c.leader == nil && w.leading >= 0 {
-		lastStream++
-		c.stream, c.leader, c.term = lastStream, w.leaders[w.leading], w.leaders[w.leading].term
+	if c.leader == nil && w.leaderIndex >= 0 {
+		lastStreamID++
+		c.stream, c.leader, c.term = lastStreamID, w.leaders[w.leaderIndex], w.leaders[w.leaderIndex].term
 		leader, stream := c.leader, c.stream
-		w.after(w.span(time.Millisecond, 4*time.Millisecond), func() {
+		w.after(w.randomDuration(time.Millisecond, 4*time.Millisecond), func() {
 			leader.step(dispatcher.Called{Stream: stream, Sequence: 1, Call: specifier.QueueCall{Verb: specifier.SubmitQueued, Host: queueHost, Path: queuePrefix + c.id,
-				TimeLeft: callerWait, Age: w.now.Sub(c.began), Job: specifier.QueuedJob{Transient: c.transient, Content: c.id,
+				TimeLeft: callerTimeLeft, Age: w.now.Sub(c.startedAt), Job: specifier.QueuedJob{Transient: c.transient, Content: c.id,
 					Steps: []specifier.Step{{Count: 3, Resources: specifier.Resources{MilliCores: 1500, Memory: 1}, Estimate: 250 * time.Millisecond},
 						{Count: 1, Resources: specifier.Resources{MilliCores: 1000, Memory: 1}, Estimate: 250 * time.Millisecond, After: []int{0}}}}}})
 		})
 	}
-	w.after(resendAfter, c.send)
+	w.after(resendInterval, c.submit)
 }
 
-func (c *fakeCaller) reply(leader *fakeLeader, reply dispatcher.Reply) {
+func (c *fakeCaller) handleReply(leader *fakeLeader, reply dispatcher.Reply) {
 	w := c.world
 	if c.done || reply.Stream != c.stream || leader != c.leader {
 		return
 	}
-	w.tell("job %s is answered: result %d state %d %s", c.id, reply.Reply.Result, reply.Reply.State, reply.Reply.Detail)
+	w.logf("job %s is answered: result %d state %d %s", c.id, reply.Reply.Result, reply.Reply.State, reply.Reply.Detail)
 	switch reply.Reply.Result {
 	case specifier.QueueOK:
 		c.done, c.accepted, c.state = true, true, reply.Reply.State
 	case specifier.QueueRefused:
-		c.done, c.refused = true, !c.lost
+		c.done, c.refused = true, !c.mayHaveRun
 	case specifier.QueueUnavailable:
 		c.leader = nil
 	default:
-		w.broken("job %s: result %d", c.id, reply.Reply.Result)
+		w.failf("job %s: result %d", c.id, reply.Reply.Result)
 	}
 }
 
-// check compares the job's answer with what ran.
+// check compares the job's answer with the tasks that ran.
 func (c *fakeCaller) check() {
 	c.world.t.Helper()
 	switch {
 	case !c.done:
-		c.world.broken("job %s has no answer", c.id)
+		c.world.failf("job %s has no answer", c.id)
 	case c.refused && c.world.started[c.id]:
-		c.world.broken("job %s was refused as not run, and a task of it started", c.id)
+		c.world.failf("job %s was refused as not run, and a task of it started", c.id)
 	}
 }
--- a/local/simulator/fakeleader_test.go
+++ b/local/simulator/fakeleader_test.go
@@ -6,10 +6,10 @@
 	"oleandertally/controller/dispatcher"
 )
 
-// refusedCommands is the share of commands that the log does not take: the leader's lease has ended for a moment.
-const refusedCommands = 0.03
+// droppedProposalShare is the share of proposals that the log drops, as when the leader's lease has briefly expired.
+const droppedProposalShare = 0.03
 
-// fakeLeader is a controller: its dispatcher, and the log without its consensus.
+// fakeLeader is a controller that runs a real dispatcher on a replicated log without consensus.
 type fakeLeader struct {
 	world   *world
 	index   int
@@ -26,37 +26,37 @@
 		switch action := action.(type) {
 		case dispatcher.Propose:
 			term := l.term
-			if w.fault(refusedCommands) {
+			if w.faultOccurs(droppedProposalShare) {
 				w.after(0, func() {
-					if w.leading == l.index && l.term == term {
+					if w.leaderIndex == l.index && l.term == term {
 						l.step(dispatcher.Dropped(action))
 					}
 				})
 				continue
 			}
-			w.after(w.span(5*time.Millisecond, 20*time.Millisecond), func() {
-				// A proposal of a leader that was deposed meanwhile is committed before the next one leads, or never.
-				if w.leading == l.index && l.term == term || w.leading < 0 && w.term == term && w.chance(0.5) {
+			w.after(w.randomDuration(5*time.Millisecond, 20*time.Millisecond), func() {
+				// A proposal of a leader that was deposed meanwhile is committed before the next election, or never.
+				if w.leaderIndex == l.index && l.term == term || w.leaderIndex < 0 && w.term == term && w.chance(0.5) {
 					w.commit(action.Command)
 				}
 			})
 		case dispatcher.Order:
 			for _, agent := range w.agents {
-				agent.order(l, action)
+				agent.deliverOrder(l, action)
 			}
 		case dispatcher.Reply:
-			for _, caller := range w.jobs {
-				caller.reply(l, action)
+			for _, caller := range w.callers {
+				caller.handleReply(l, action)
 			}
 		case dispatcher.Note:
-			w.tell("controller %d: %s job=%s task=%s run=%d agent=%s %s", l.index, action.Event, action.Job, action.Task, action.Run, action.Agent, action.Detail)
+			w.logf("controller %d: %s job=%s task=%s run=%d agent=%s %s", l.index, action.Event, action.Job, action.Task, action.Run, action.Agent, action.Detail)
 		}
 	}
-	l.arm()
+	l.setTimer()
 }
 
-// arm wakes the dispatcher at its next deadline.
-func (l *fakeLeader) arm() {
+// setTimer schedules a call of Expire at the dispatcher's next deadline.
+func (l *fakeLeader) setTimer() {
 	next := l.machine.Next()
 	if next.IsZero() || next.Equal(l.wakeAt) {
 		return
--- a/local/simulator/fakeworker_test.go
+++ b/local/simulator/fakeworker_test.go
@@ -9,106 +9,106 @@
 )
 
 const (
-	lateCalls   = 0.03 // carried out seconds later, without an answer
-	lostAnswers = 0.03
-	lostCalls   = 0.02
-	failures    = 0.04
-	callBound   = 150 * time.Millisecond
-	longest     = time.Second // lease
-	stopGrace   = 50 * time.Millisecond
+	lateCallShare   = 0.03 // calls carried out seconds later, whose answers are lost
+	lostAnswerShare = 0.03
+	lostCallShare   = 0.02
+	failedRunShare  = 0.04
+	callTimeout     = 150 * time.Millisecond
+	maxLease        = time.Second
+	maxStopDelay    = 50 * time.Millisecond
 )
 
-// workerRun is a run at a worker.
+// workerRun is a run of a task on one incarnation of a worker.
 type workerRun struct {
-	key    specifier.RunKey
-	room   specifier.Resources
-	worker *fakeWorker
-	life   int
+	key         specifier.RunKey
+	resources   specifier.Resources
+	worker      *fakeWorker
+	incarnation int
 }
 
-// fakeWorker does what the users' pages say of a worker that does not guard its capacity.
+// fakeWorker follows the documented worker protocol, for a worker that does not check its own capacity.
 type fakeWorker struct {
-	world    *world
-	name     string
-	up       bool
-	life     int
-	born     time.Time
-	rate     float64
-	announce func()
-	sequence uint64
-	token    uint64
-	until    time.Duration  // end of the lease, on the worker's clock
-	lapses   int            // of the lease
-	endedIn  map[uint64]int // lapses before each end that is listed
-	runs     map[specifier.RunKey]*workerRun
-	highest  map[string]uint64 // run of each task that was stopped or ended
-	ends     []specifier.RunEnd
-	last     uint64
-	waiting  []func() // holds that wait for an end
+	world        *world
+	name         string
+	up           bool
+	incarnation  int
+	startedAt    time.Time
+	clockRate    float64
+	announce     func()
+	sequence     uint64
+	token        uint64
+	leaseEnd     time.Duration  // on the worker's clock
+	leaseLapses  int            // number of times that the lease expired
+	lapsesAtEnd  map[uint64]int // leaseLapses when each run ended, by number of the end
+	runs         map[specifier.RunKey]*workerRun
+	highestEnded map[string]uint64  // highest stopped or ended run of each task
+	ends         []specifier.RunEnd // not yet acknowledged
+	lastEnd      uint64
+	waitingPolls []func() // answer the polls that wait for a run to end
 }
 
 func newFakeWorker(w *world, name string) *fakeWorker {
 	f := &fakeWorker{world: w, name: name, announce: func() {}}
-	f.begin()
+	f.boot()
 	return f
 }
 
-func (f *fakeWorker) begin() {
-	f.up, f.born, f.rate = true, f.world.now, 0.98+0.02*f.world.random.Float64()
-	f.life++
-	f.token, f.until, f.last, f.sequence = 0, 0, 0, 0
-	f.lapses, f.endedIn = 0, make(map[uint64]int)
-	f.runs, f.highest, f.ends, f.waiting = make(map[specifier.RunKey]*workerRun), make(map[string]uint64), nil, nil
-	f.world.after(f.world.span(0, 200*time.Millisecond), func() { f.announce() })
+func (f *fakeWorker) boot() {
+	f.up, f.startedAt, f.clockRate = true, f.world.now, 0.98+0.02*f.world.random.Float64()
+	f.incarnation++
+	f.token, f.leaseEnd, f.lastEnd, f.sequence = 0, 0, 0, 0
+	f.leaseLapses, f.lapsesAtEnd = 0, make(map[uint64]int)
+	f.runs, f.highestEnded, f.ends, f.waitingPolls = make(map[specifier.RunKey]*workerRun), make(map[string]uint64), nil, nil
+	f.world.after(f.world.randomDuration(0, 200*time.Millisecond), func() { f.announce() })
 }
 
-// crash ends the worker. It comes back under its ID and knows nothing.
+// crash ends the worker. It restarts later under the same ID and without state.
 func (f *fakeWorker) crash() {
 	if !f.up {
 		return
 	}
-	f.world.tell("%s: the worker crashes", f.name)
+	f.world.logf("%s: the worker crashes", f.name)
 	f.up = false
 	for _, run := range f.runs {
-		f.gone(run)
+		f.removeRunning(run)
 	}
 	f.runs = nil
-	f.world.after(f.world.span(50*time.Millisecond, 2*time.Second), f.begin)
+	f.world.after(f.world.randomDuration(50*time.Millisecond, 2*time.Second), f.boot)
 }
 
-func (f *fakeWorker) gone(run *workerRun) {
+func (f *fakeWorker) removeRunning(run *workerRun) {
 	if f.world.running[run.key.Task] == run {
 		delete(f.world.running, run.key.Task)
 	}
 }
 
 func (f *fakeWorker) clock() time.Duration {
-	return time.Second + time.Duration(f.rate*float64(f.world.now.Sub(f.born)))
+	return time.Second + time.Duration(f.clockRate*float64(f.world.now.Sub(f.startedAt)))
 }
 
-func (f *fakeWorker) answer(asked time.Time) leaseholder.Answer {
-	return leaseholder.Answer{CalledAt: asked, Clock: f.clock(), StartedAt: f.born}
+func (f *fakeWorker) answer(calledAt time.Time) leaseholder.Answer {
+	return leaseholder.Answer{CalledAt: calledAt, Clock: f.clock(), StartedAt: f.startedAt}
 }
 
-// call carries out a call now, late, or never, and passes its answer on or loses it.
-func (f *fakeWorker) call(within time.Duration, lost func(leaseholder.Answer), do func(respond func(func()))) {
-	w, asked, done := f.world, f.world.now, false
-	w.after(within, func() {
+// call carries out a call soon, late, or never, and delivers or loses its answer.
+func (f *fakeWorker) call(timeout time.Duration, onTimeout func(leaseholder.Answer), handle func(respond func(func()))) {
+	w, calledAt, done := f.world, f.world.now, false
+	w.after(timeout, func() {
 		if !done {
 			done = true
-			lost(leaseholder.Answer{CalledAt: asked, Lost: true})
+			onTimeout(leaseholder.Answer{CalledAt: calledAt, Lost: true})
 		}
 	})
-	deaf := w.fault(lostAnswers)
-	life := f.life
-	carry := func() {
-		// A late call was on a channel of the life that it was made to, and ends with it.
-		if !f.up || f.life != life {
+	answerLost := w.faultOccurs(lostAnswerShare)
+	incarnation := f.incarnation
+	execute := func() {
+		// A call belongs to a connection, which ends with the incarnation of the worker that it was made to.
+		if !f.up || f.incarnation != incarnation {
 			return
 		}
-		do(func(answer func()) {
-			w.after(w.span(100*time.Microsecond, time.Millisecond), func() {
-				if !done && !deaf {
+		handle(func(answer func()) {
+			w.after(w.randomDuration(100*time.Microsecond, time.Millisecond), func() {
+				if !done && !answerLost {
 					done = true
 					answer()
 				}
@@ -116,17 +116,17 @@
 		})
 	}
 	switch {
-	case w.fault(lostCalls):
-	case w.fault(lateCalls):
-		deaf = true
-		w.after(w.span(time.Second, lateMost), carry)
+	case w.faultOccurs(lostCallShare):
+	case w.faultOccurs(lateCallShare):
+		answerLost = true
+		w.after(w.randomDuration(time.Second, maxCallDelay), execute)
 	default:
-		w.after(w.span(100*time.Microsecond, 2*time.Millisecond), carry)
+		w.after(w.randomDuration(100*time.Microsecond, 2*time.Millisecond), execute)
 	}
 }
 
-// raise takes over a token, or reports that it is too low.
-func (f *fakeWorker) raise(token uint64) bool {
+// acceptToken stores a fencing token and reports true, or reports false if it has seen a higher one.
+func (f *fakeWorker) acceptToken(token uint64) bool {
 	if token < f.token {
 		return false
 	}
@@ -134,17 +134,17 @@
 	return true
 }
 
-// extend takes over the end of a lease.
-func (f *fakeWorker) extend(until time.Duration) {
-	until = min(until, f.clock()+longest)
-	if until <= f.until {
+// extendLease moves the end of the lease forward, up to maxLease from now. When the lease expires, all runs end.
+func (f *fakeWorker) extendLease(until time.Duration) {
+	until = min(until, f.clock()+maxLease)
+	if until <= f.leaseEnd {
 		return
 	}
-	f.until = until
-	life := f.life
-	f.world.after(time.Duration(float64(until-f.clock())/f.rate)+time.Microsecond, func() {
-		if f.life == life && f.up && f.clock() >= f.until {
-			f.lapses++
+	f.leaseEnd = until
+	incarnation := f.incarnation
+	f.world.after(time.Duration(float64(until-f.clock())/f.clockRate)+time.Microsecond, func() {
+		if f.incarnation == incarnation && f.up && f.clock() >= f.leaseEnd {
+			f.leaseLapses++
 			for _, run := range f.runs {
 				f.end(run, specifier.EndLapsed)
 			}
@@ -152,139 +152,140 @@
 	})
 }
 
-func (f *fakeWorker) end(run *workerRun, how specifier.EndKind) {
-	if f.runs[run.key] != run || !f.up || run.life != f.life {
+func (f *fakeWorker) end(run *workerRun, kind specifier.EndKind) {
+	if f.runs[run.key] != run || !f.up || run.incarnation != f.incarnation {
 		return
 	}
 	delete(f.runs, run.key)
-	f.gone(run)
-	f.highest[run.key.Task] = max(f.highest[run.key.Task], run.key.Run)
-	f.last++
-	f.ends = append(f.ends, specifier.RunEnd{Number: f.last, Key: run.key, How: how})
-	f.endedIn[f.last] = f.lapses
-	f.world.tell("%s: run %v ended %v", f.name, run.key, how)
-	for _, wake := range f.waiting {
+	f.removeRunning(run)
+	f.highestEnded[run.key.Task] = max(f.highestEnded[run.key.Task], run.key.Run)
+	f.lastEnd++
+	f.ends = append(f.ends, specifier.RunEnd{Number: f.lastEnd, Key: run.key, How: kind})
+	f.lapsesAtEnd[f.lastEnd] = f.leaseLapses
+	f.world.logf("%s: run %v ended %v", f.name, run.key, kind)
+	for _, wake := range f.waitingPolls {
 		wake()
 	}
-	f.waiting = nil
+	f.waitingPolls = nil
 }
 
 func (f *fakeWorker) start(call leaseholder.Start, answer func(leaseholder.Event)) {
-	asked, key := f.world.now, call.Start.Key
-	lost := func(a leaseholder.Answer) { answer(leaseholder.Started{Answer: a, Key: key}) }
-	f.call(callBound, lost, func(respond func(func())) {
-		refuse := func(how specifier.EndKind) {
-			respond(func() { answer(leaseholder.Started{Answer: f.answer(asked), Key: key, Refused: true, Kind: how}) })
+	calledAt, key := f.world.now, call.Start.Key
+	onTimeout := func(a leaseholder.Answer) { answer(leaseholder.Started{Answer: a, Key: key}) }
+	f.call(callTimeout, onTimeout, func(respond func(func())) {
+		refuse := func(kind specifier.EndKind) {
+			respond(func() { answer(leaseholder.Started{Answer: f.answer(calledAt), Key: key, Refused: true, Kind: kind}) })
 		}
 		switch {
-		case !f.raise(call.Token):
+		case !f.acceptToken(call.Token):
 			refuse(specifier.EndRefusedFence)
 			return
 		case call.LeaseEnd <= f.clock():
 			refuse(specifier.EndRefusedLate)
 			return
 		}
-		f.extend(call.LeaseEnd)
+		f.extendLease(call.LeaseEnd)
 		if f.runs[key] == nil {
-			if key.Run <= f.highest[key.Task] {
+			if key.Run <= f.highestEnded[key.Task] {
 				refuse(specifier.EndRefusedOld)
 				return
 			}
-			f.begun(call)
+			f.startRun(call)
 		}
-		respond(func() { answer(leaseholder.Started{Answer: f.answer(asked), Key: key}) })
+		respond(func() { answer(leaseholder.Started{Answer: f.answer(calledAt), Key: key}) })
 	})
 }
 
-// begun starts a run and checks the promises.
-func (f *fakeWorker) begun(call leaseholder.Start) {
+// startRun starts a run and checks the guarantees: no task runs twice or again after its end, and the capacity suffices.
+func (f *fakeWorker) startRun(call leaseholder.Start) {
 	w, key := f.world, call.Start.Key
-	run := &workerRun{key: key, room: call.Start.Resources, worker: f, life: f.life}
-	w.tell("%s: run %v starts", f.name, key)
+	run := &workerRun{key: key, resources: call.Start.Resources, worker: f, incarnation: f.incarnation}
+	w.logf("%s: run %v starts", f.name, key)
 	if other := w.running[key.Task]; other != nil {
-		w.broken("task %s runs twice: run %d at %s and run %d at %s", key.Task, other.key.Run, other.worker.name, key.Run, f.name)
+		w.failf("task %s runs twice: run %d at %s and run %d at %s", key.Task, other.key.Run, other.worker.name, key.Run, f.name)
 	}
-	if w.noted[key.Task] {
-		w.broken("task %s starts again after its end was noted", key.Task)
+	if w.acknowledged[key.Task] {
+		w.failf("task %s starts again after its end was acknowledged", key.Task)
 	}
-	used := run.room.MilliCores
+	used := run.resources.MilliCores
 	for _, each := range f.runs {
-		used += each.room.MilliCores
+		used += each.resources.MilliCores
 	}
 	if used > workerCores {
-		w.broken("%s: %d thousandths of a core are in use, of %d", f.name, used, workerCores)
+		w.failf("%s: runs use %d millicores of %d", f.name, used, workerCores)
 	}
 	w.running[key.Task], f.runs[key] = run, run
 	id, _, _ := strings.Cut(key.Task, ".")
 	w.started[id] = true
-	how := specifier.EndDone
-	if w.fault(failures) {
-		how = specifier.EndFailed
+	kind := specifier.EndDone
+	if w.faultOccurs(failedRunShare) {
+		kind = specifier.EndFailed
 	}
-	w.after(w.span(shortestWork, 500*time.Millisecond), func() { f.end(run, how) })
+	w.after(w.randomDuration(minRunTime, 500*time.Millisecond), func() { f.end(run, kind) })
 }
 
 func (f *fakeWorker) stop(call leaseholder.Stop, answer func(leaseholder.Event)) {
-	asked := f.world.now
-	lost := func(a leaseholder.Answer) { answer(leaseholder.Stopped{Answer: a, Key: call.Key}) }
-	f.call(callBound, lost, func(respond func(func())) {
-		if !f.raise(call.Token) {
-			respond(func() { answer(leaseholder.Stopped{Answer: f.answer(asked), Key: call.Key, Refused: true}) })
+	calledAt := f.world.now
+	onTimeout := func(a leaseholder.Answer) { answer(leaseholder.Stopped{Answer: a, Key: call.Key}) }
+	f.call(callTimeout, onTimeout, func(respond func(func())) {
+		if !f.acceptToken(call.Token) {
+			respond(func() { answer(leaseholder.Stopped{Answer: f.answer(calledAt), Key: call.Key, Refused: true}) })
 			return
 		}
-		f.highest[call.Key.Task] = max(f.highest[call.Key.Task], call.Key.Run)
+		f.highestEnded[call.Key.Task] = max(f.highestEnded[call.Key.Task], call.Key.Run)
 		if run := f.runs[call.Key]; run != nil {
-			f.world.after(f.world.span(0, stopGrace), func() { f.end(run, specifier.EndStopped) })
+			f.world.after(f.world.randomDuration(0, maxStopDelay), func() { f.end(run, specifier.EndStopped) })
 		}
-		respond(func() { answer(leaseholder.Stopped{Answer: f.answer(asked), Key: call.Key}) })
+		respond(func() { answer(leaseholder.Stopped{Answer: f.answer(calledAt), Key: call.Key}) })
 	})
 }
 
-func (f *fakeWorker) hold(call leaseholder.Poll, answer func(leaseholder.Event)) {
-	asked := f.world.now
-	lost := func(a leaseholder.Answer) {
+func (f *fakeWorker) poll(call leaseholder.Poll, answer func(leaseholder.Event)) {
+	calledAt := f.world.now
+	onTimeout := func(a leaseholder.Answer) {
 		answer(leaseholder.PollResult{Answer: a, Immediate: call.Immediate, Token: call.Token})
 	}
-	f.call(call.Wait+callBound, lost, func(respond func(func())) {
-		if !f.raise(call.Token) {
+	f.call(call.Wait+callTimeout, onTimeout, func(respond func(func())) {
+		if !f.acceptToken(call.Token) {
 			respond(func() {
-				answer(leaseholder.PollResult{Answer: f.answer(asked), Immediate: call.Immediate, Token: call.Token, Refused: true})
+				answer(leaseholder.PollResult{Answer: f.answer(calledAt), Immediate: call.Immediate, Token: call.Token, Refused: true})
 			})
 			return
 		}
-		f.extend(call.LeaseEnd)
-		f.see(call.Acknowledged)
+		f.extendLease(call.LeaseEnd)
+		f.acknowledge(call.Acknowledged)
 		list := func() {
-			held := leaseholder.PollResult{Answer: f.answer(asked), Immediate: call.Immediate, Token: call.Token, EndsComplete: true, Ends: append([]specifier.RunEnd(nil), f.ends...)}
+			result := leaseholder.PollResult{Answer: f.answer(calledAt), Immediate: call.Immediate, Token: call.Token, EndsComplete: true, Ends: append([]specifier.RunEnd(nil), f.ends...)}
 			for key := range f.runs {
-				held.Runs = append(held.Runs, specifier.LeasedRun{Key: key})
+				result.Runs = append(result.Runs, specifier.LeasedRun{Key: key})
 			}
-			respond(func() { answer(held) })
+			respond(func() { answer(result) })
 		}
 		if call.Wait == 0 || len(f.ends) > 0 {
 			list()
 			return
 		}
-		life, listed := f.life, false
-		once := func() {
-			if !listed && f.life == life && f.up {
+		incarnation, listed := f.incarnation, false
+		wake := func() {
+			if !listed && f.incarnation == incarnation && f.up {
 				listed = true
 				list()
 			}
 		}
-		f.waiting = append(f.waiting, once)
-		f.world.after(call.Wait, once)
+		f.waitingPolls = append(f.waitingPolls, wake)
+		f.world.after(call.Wait, wake)
 	})
 }
 
-// see forgets the ends that the agent says are noted.
-func (f *fakeWorker) see(number uint64) {
+// acknowledge deletes the ends up to a number that the agent reports as acknowledged by the controller. A done task of a
+// recorded job must not start again, provided that the lease has not expired since the end.
+func (f *fakeWorker) acknowledge(number uint64) {
 	for len(f.ends) > 0 && f.ends[0].Number <= number {
 		end := f.ends[0]
 		f.ends = f.ends[1:]
 		id, _, _ := strings.Cut(end.Key.Task, ".")
-		if end.How == specifier.EndDone && f.world.kept(id) && f.endedIn[end.Number] == f.lapses {
-			f.world.noted[end.Key.Task] = true
+		if end.How == specifier.EndDone && f.world.isRecorded(id) && f.lapsesAtEnd[end.Number] == f.leaseLapses {
+			f.world.acknowledged[end.Key.Task] = true
 		}
 	}
 }
--- a/local/simulator/world_test.go
+++ b/local/simulator/world_test.go
@@ -14,171 +14,173 @@
 )
 
 const (
-	controllers  = 3
-	agents       = 4
-	settleTime   = 12 * time.Second // without faults, at the end
-	faultTime    = 8 * time.Second
-	workerCores  = 4000
-	callerWait   = 3 * time.Second
-	resendAfter  = 300 * time.Millisecond
-	leaderGap    = 400 * time.Millisecond
-	maxAttempts  = 3
-	poolName     = "pool"
-	queueHost    = "host"
-	queuePrefix  = "/q/"
-	lateMost     = 6 * time.Second
-	shortestWork = 20 * time.Millisecond
+	controllerCount = 3
+	agentCount      = 4
+	settleTime      = 12 * time.Second // the fault-free time at the end of a schedule
+	faultTime       = 8 * time.Second
+	workerCores     = 4000
+	callerTimeLeft  = 3 * time.Second
+	resendInterval  = 300 * time.Millisecond
+	maxElectionTime = 400 * time.Millisecond
+	maxAttempts     = 3
+	poolName        = "pool"
+	queueHost       = "host"
+	queuePrefix     = "/q/"
+	maxCallDelay    = 6 * time.Second
+	minRunTime      = 20 * time.Millisecond
 )
 
-// world plays one schedule.
+// world simulates the controllers, agents, workers and callers of one schedule.
 type world struct {
-	t       *testing.T
-	seed    uint64
-	random  *rand.Rand
-	now     time.Time
-	next    container.Heap[occurrence]
-	counted int
-	faults  bool
-	leaders []*fakeLeader
-	leading int // index of the leader, -1 while there is none
-	term    uint64
-	log     []specifier.QueueCommand
-	agents  []*fakeAgent
-	jobs    []*fakeCaller
-	running map[string]*workerRun // by task, on workers that are up
-	noted   map[string]bool       // tasks whose end as done was noted
-	started map[string]bool       // jobs of which a task started
-	story   []string
+	t             *testing.T
+	seed          uint64
+	random        *rand.Rand
+	now           time.Time
+	timers        container.Heap[timer]
+	timerCount    int
+	faultsEnabled bool
+	leaders       []*fakeLeader
+	leaderIndex   int // -1 while there is no leader
+	term          uint64
+	commandLog    []specifier.QueueCommand
+	agents        []*fakeAgent
+	callers       []*fakeCaller
+	running       map[string]*workerRun // by task, on live workers
+	acknowledged  map[string]bool       // tasks whose end as done was acknowledged
+	started       map[string]bool       // jobs with at least one started task
+	logLines      []string
 }
 
 func newWorld(t *testing.T, seed uint64) *world {
-	w := &world{t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1_000_000, 0), next: container.Heap[occurrence]{Less: sooner},
-		faults: true, leading: -1, running: make(map[string]*workerRun), noted: make(map[string]bool), started: make(map[string]bool)}
-	for i := range controllers {
+	w := &world{t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1_000_000, 0), timers: container.Heap[timer]{Less: earlier},
+		faultsEnabled: true, leaderIndex: -1, running: make(map[string]*workerRun), acknowledged: make(map[string]bool), started: make(map[string]bool)}
+	for i := range controllerCount {
 		l := &fakeLeader{world: w, index: i}
 		l.machine = &dispatcher.Dispatcher{Keeper: jobrecorder.New(time.Minute), Settings: dispatcher.Defaults(),
-			Leading: func(time.Time) bool { return w.leading == l.index }, Open: func() bool { return true }}
+			Leading: func(time.Time) bool { return w.leaderIndex == l.index }, Open: func() bool { return true }}
 		w.leaders = append(w.leaders, l)
 	}
-	for i := range agents {
+	for i := range agentCount {
 		w.agents = append(w.agents, newFakeAgent(w, fmt.Sprintf("agent-%d", i)))
 	}
-	w.lead(0)
+	w.elect(0)
 	w.commit(specifier.QueueCommand{Manifest: &specifier.Manifest{Version: 1, Unguarded: []string{poolName}, Queues: []specifier.Queue{
 		{Name: "q", Host: queueHost, Prefix: queuePrefix, Pool: poolName, MaxAttempts: maxAttempts, Stretch: 1.6, Target: 60 * time.Millisecond}}}})
 	return w
 }
 
-// span returns a random time between two bounds.
-func (w *world) span(low, high time.Duration) time.Duration {
+// randomDuration returns a random duration between two bounds.
+func (w *world) randomDuration(low, high time.Duration) time.Duration {
 	return low + time.Duration(w.random.Int64N(int64(high-low)+1))
 }
 
-func (w *world) chance(part float64) bool { return w.random.Float64() < part }
+func (w *world) chance(probability float64) bool { return w.random.Float64() < probability }
 
-// fault reports whether a fault of the given likelihood strikes now.
-func (w *world) fault(part float64) bool { return w.faults && w.chance(part) }
+// faultOccurs reports whether a fault of the given probability occurs now. None occurs while faults are disabled.
+func (w *world) faultOccurs(probability float64) bool {
+	return w.faultsEnabled && w.chance(probability)
+}
 
-func (w *world) after(span time.Duration, do func()) {
-	w.counted++
-	w.next.Push(occurrence{at: w.now.Add(span), sequence: w.counted, do: do})
+func (w *world) after(delay time.Duration, run func()) {
+	w.timerCount++
+	w.timers.Push(timer{at: w.now.Add(delay), sequence: w.timerCount, run: run})
 }
 
-// run plays until an end.
+// run runs the timers that are due up to a time.
 func (w *world) run(until time.Time) {
 	for {
-		next, ok := w.next.Peek()
+		next, ok := w.timers.Peek()
 		if !ok || next.at.After(until) {
 			w.now = until
 			return
 		}
-		w.next.Pop()
+		w.timers.Pop()
 		w.now = next.at
-		next.do()
+		next.run()
 	}
 }
 
-func (w *world) tell(format string, args ...any) {
-	w.story = append(w.story, fmt.Sprintf("%8.3f ", w.now.Sub(time.Unix(1_000_000, 0)).Seconds())+fmt.Sprintf(format, args...))
+func (w *world) logf(format string, args ...any) {
+	w.logLines = append(w.logLines, fmt.Sprintf("%8.3f ", w.now.Sub(time.Unix(1_000_000, 0)).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// broken fails the schedule with what led to it.
-func (w *world) broken(format string, args ...any) {
+// failf fails the test and prints the seed and the last log lines of the schedule.
+func (w *world) failf(format string, args ...any) {
 	w.t.Helper()
-	last := w.story[max(len(w.story)-400, 0):]
+	last := w.logLines[max(len(w.logLines)-400, 0):]
 	for _, line := range last {
 		w.t.Log(line)
 	}
 	w.t.Fatalf("seed %d: %s", w.seed, fmt.Sprintf(format, args...))
 }
 
-// commit applies a command at every controller.
+// commit applies a command on every controller.
 func (w *world) commit(command specifier.QueueCommand) {
-	w.log = append(w.log, command)
+	w.commandLog = append(w.commandLog, command)
 	for _, l := range w.leaders {
 		l.step(dispatcher.Applied{Command: command})
 	}
 }
 
-// lead makes a controller the leader.
-func (w *world) lead(index int) {
+// elect makes a controller the leader of a new term.
+func (w *world) elect(index int) {
 	w.term++
-	w.leading = index
-	w.tell("controller %d leads term %d", index, w.term)
+	w.leaderIndex = index
+	w.logf("controller %d leads term %d", index, w.term)
 	w.leaders[index].term = w.term
 	w.leaders[index].step(dispatcher.Led{Term: w.term})
 }
 
-// depose ends the leadership. The former leader learns of it later; its lease has ended.
+// depose ends the leader's lease. The former leader learns of this later, and another controller is elected.
 func (w *world) depose() {
-	if w.leading < 0 {
+	if w.leaderIndex < 0 {
 		return
 	}
-	former := w.leaders[w.leading]
-	w.leading = -1
-	w.tell("controller %d is deposed", former.index)
-	w.after(w.span(0, time.Second), func() {
-		if w.leading != former.index {
+	former := w.leaders[w.leaderIndex]
+	w.leaderIndex = -1
+	w.logf("controller %d is deposed", former.index)
+	w.after(w.randomDuration(0, time.Second), func() {
+		if w.leaderIndex != former.index {
 			former.step(dispatcher.Followed{})
 		}
 	})
-	next := (former.index + 1 + w.random.IntN(controllers-1)) % controllers
-	w.after(w.span(10*time.Millisecond, leaderGap), func() { w.lead(next) })
+	next := (former.index + 1 + w.random.IntN(controllerCount-1)) % controllerCount
+	w.after(w.randomDuration(10*time.Millisecond, maxElectionTime), func() { w.elect(next) })
 }
 
-// begin schedules the callers and the faults.
-func (w *world) begin() {
+// schedule adds the callers and the faults at random times.
+func (w *world) schedule() {
 	for i := range 25 {
 		caller := &fakeCaller{world: w, id: fmt.Sprintf("%016x", i+1), transient: w.chance(0.6)}
-		w.jobs = append(w.jobs, caller)
-		w.after(w.span(500*time.Millisecond, faultTime), caller.begin)
+		w.callers = append(w.callers, caller)
+		w.after(w.randomDuration(500*time.Millisecond, faultTime), caller.start)
 	}
 	for range 2 + w.random.IntN(3) {
-		w.after(w.span(time.Second, faultTime), w.depose)
+		w.after(w.randomDuration(time.Second, faultTime), w.depose)
 	}
 	for range w.random.IntN(4) {
 		agent := w.agents[w.random.IntN(len(w.agents))]
-		w.after(w.span(time.Second, faultTime), agent.restart)
+		w.after(w.randomDuration(time.Second, faultTime), agent.restart)
 	}
 	for range w.random.IntN(4) {
 		agent := w.agents[w.random.IntN(len(w.agents))]
-		w.after(w.span(time.Second, faultTime), agent.cut)
+		w.after(w.randomDuration(time.Second, faultTime), agent.partition)
 	}
 	for range w.random.IntN(4) {
 		agent := w.agents[w.random.IntN(len(w.agents))]
-		w.after(w.span(time.Second, faultTime), agent.worker.crash)
+		w.after(w.randomDuration(time.Second, faultTime), agent.worker.crash)
 	}
 }
 
-// mustHold checks the promises at the end: every job has its answer, and what was kept is complete.
-func (w *world) mustHold() {
+// mustKeepGuarantees checks at the end that every job has its answer and that no recorded job is still open.
+func (w *world) mustKeepGuarantees() {
 	w.t.Helper()
-	for _, caller := range w.jobs {
+	for _, caller := range w.callers {
 		caller.check()
 	}
-	if at := slices.IndexFunc(w.leaders, func(l *fakeLeader) bool { return l.index == w.leading }); at >= 0 {
+	if at := slices.IndexFunc(w.leaders, func(l *fakeLeader) bool { return l.index == w.leaderIndex }); at >= 0 {
 		for _, id := range w.leaders[at].machine.Keeper.OpenJobs() {
-			w.broken("job %s was kept and has not ended %v after the last fault", id, settleTime)
+			w.failf("recorded job %s has not ended %v after the last fault", id, settleTime)
 		}
 	}
 }
