--- a/local/transcriber/golden_test.go
+++ b/local/transcriber/golden_test.go
@@ -31,15 +31,15 @@
 		Profiles: []specifier.Profile{{Name: "quote", Service: "cotizador", Repeatable: true}, {Name: "cut-plan", Service: "cotizador"}}}
 }
 
-// mustMatch checks that a session ends without work, keeps every promise, and gives the recorded
-// transcript, byte for byte, on a first and on a second run.
+// mustMatch checks that a session ends without open work and violates no guarantee, and that two runs give
+// the transcript of the golden file, byte for byte.
 func mustMatch(t *testing.T, site transcriber.Site, script func(*transcriber.Session)) {
 	t.Helper()
 	run := func() string {
 		s := transcriber.New(site)
 		script(s)
 		s.Advance(20 * time.Second)
-		must.True(t, s.Idle(), must.Sprint("work is left at the end"))
+		must.True(t, s.Idle(), must.Sprint("the site still has work at the end"))
 		repeatable := func(id specifier.JobID) bool { return s.IsRepeatable(id) }
 		for _, violation := range verifier.Check(s.Events(), verifier.Facts{Repeatable: repeatable}) {
 			t.Error(violation)
@@ -57,7 +57,7 @@
 	must.Eq(t, string(golden), transcript)
 }
 
-// Guards against a change of what callers, operators and the time line see in whole sessions.
+// Guards against unintended changes of the answers, operator results and events of whole sessions.
 func TestSessions(t *testing.T) {
 	t.Run("alisio-day", func(t *testing.T) {
 		mustMatch(t, alisio(), func(s *transcriber.Session) {
--- a/local/transcriber/load_test.go
+++ b/local/transcriber/load_test.go
@@ -9,8 +9,8 @@
 	"oleandertally/local/transcriber"
 )
 
-// Guards against short work that waits for long work of another entry while a worker is free: an entry
-// that has sent an agent nothing lately still counts that agent's slots as free.
+// Guards against short tasks that wait behind the long tasks of another entry while a worker is free. This
+// happens if an entry that has recently sent nothing to an agent assumes that all its slots are free.
 func TestShortWorkBesideLongWorkOfAnotherEntry(t *testing.T) {
 	s := transcriber.New(eslabon())
 	s.Submit("plan", 0, "cut-plan-1", "cut-plan", 20*time.Second, 4*time.Second, 4*time.Second, 4*time.Second)
--- a/local/transcriber/perform.go
+++ b/local/transcriber/perform.go
@@ -11,20 +11,20 @@
 	"oleandertally/entry/coordinator"
 )
 
-func (s *Session) entry(e *entryNode, event coordinator.Event) {
+func (s *Session) stepEntry(e *entryNode, event coordinator.Event) {
 	s.performEntry(e, e.machine.Step(s.now, event))
 }
 
-func (s *Session) agent(a *agentNode, event executor.Event) {
+func (s *Session) stepAgent(a *agentNode, event executor.Event) {
 	s.performAgent(a, a.machine.Step(s.now, event))
 }
 
 func (s *Session) performEntry(e *entryNode, actions []coordinator.Action) {
-	link := uint64(e.id.Incarnation)
+	stream := uint64(e.id.Incarnation)
 	for _, action := range actions {
 		switch action := action.(type) {
 		case coordinator.RecordEvent:
-			s.record(e.id, action.Event)
+			s.recordEvent(e.id, action.Event)
 		case coordinator.Propose:
 			s.propose(e, action.Command)
 		case coordinator.Reply:
@@ -32,57 +32,57 @@
 		case coordinator.AskOwner:
 			s.askOwner(e, action)
 		case coordinator.Assign:
-			s.toAgent(e, action.Agent, executor.Assigned{Entry: e.id, Stream: link, Key: action.Key, Epoch: action.Epoch,
+			s.toAgent(e, action.Agent, executor.Assigned{Entry: e.id, Stream: stream, Key: action.Key, Epoch: action.Epoch,
 				Payload: action.Payload, Order: action.Order, Deadline: action.Deadline, Profile: action.Profile})
 		case coordinator.Withdraw:
-			s.toAgent(e, action.Agent, executor.Withdrawn{Entry: e.id, Stream: link, Job: action.Job, Epoch: action.Epoch})
+			s.toAgent(e, action.Agent, executor.Withdrawn{Entry: e.id, Stream: stream, Job: action.Job, Epoch: action.Epoch})
 		case coordinator.Fence:
-			s.toAgent(e, action.Agent, executor.Fenced{Entry: e.id, Stream: link, Job: action.Job, Epoch: action.Epoch,
+			s.toAgent(e, action.Agent, executor.Fenced{Entry: e.id, Stream: stream, Job: action.Job, Epoch: action.Epoch,
 				Deadline: action.Deadline, Mark: action.Mark})
 		}
 	}
 }
 
-// propose commits the command even if the entry dies meanwhile.
+// propose commits the command, even if the entry terminates meanwhile.
 func (s *Session) propose(e *entryNode, command specifier.Command) {
 	id := e.id
 	s.after(s.site.Commit, func() {
 		decision := s.apply(command)
 		if e.alive && e.id == id {
-			s.entry(e, coordinator.Decided{Command: command, Decision: decision})
+			s.stepEntry(e, coordinator.Decided{Command: command, Decision: decision})
 		}
 	})
 }
 
 func (s *Session) reply(e *entryNode, reply coordinator.Reply) {
-	if answer := e.asks[reply.Waiter]; answer != nil {
-		delete(e.asks, reply.Waiter)
+	if answer := e.ownerRequests[reply.Waiter]; answer != nil {
+		delete(e.ownerRequests, reply.Waiter)
 		answer(reply)
 		return
 	}
 	caller := e.callers[reply.Waiter]
 	delete(e.callers, reply.Waiter)
-	s.say("%s: %s answers %s", caller, e.id.Name, recorder.AnswerDetail(reply.Answer))
+	s.logf("%s: %s answers %s", caller, e.id.Name, recorder.AnswerDetail(reply.Answer))
 	for _, result := range reply.Answer.Results {
-		s.say("%s:   %s: %s", caller, result.Task, result.Body)
+		s.logf("%s:   %s: %s", caller, result.Task, result.Body)
 	}
 }
 
-// askOwner puts a question to the run that owns the job.
+// askOwner sends a question to the entry incarnation that owns the job.
 func (s *Session) askOwner(e *entryNode, question coordinator.AskOwner) {
 	answer := func(reply coordinator.Reply) {
 		s.after(s.site.Hop, func() {
 			if e.alive {
-				s.entry(e, coordinator.OwnerAnswered{Job: question.Job, Owner: question.Owner, Unavailable: reply.NotOwner, Answer: reply.Answer})
+				s.stepEntry(e, coordinator.OwnerAnswered{Job: question.Job, Owner: question.Owner, Unavailable: reply.NotOwner, Answer: reply.Answer})
 			}
 		})
 	}
 	s.after(s.site.Hop, func() {
 		for _, owner := range s.entries {
 			if owner.alive && owner.id == question.Owner {
-				waiter := coordinator.Waiter(s.next())
-				owner.asks[waiter] = answer
-				s.entry(owner, coordinator.AnswerRequested{Waiter: waiter, Job: question.Job, Digest: question.Digest, Cancel: question.Cancel})
+				waiter := coordinator.Waiter(s.nextNumber())
+				owner.ownerRequests[waiter] = answer
+				s.stepEntry(owner, coordinator.AnswerRequested{Waiter: waiter, Job: question.Job, Digest: question.Digest, Cancel: question.Cancel})
 				return
 			}
 		}
@@ -94,7 +94,7 @@
 	s.after(s.site.Hop, func() {
 		for _, a := range s.agents {
 			if a.alive && a.id == id {
-				s.agent(a, event)
+				s.stepAgent(a, event)
 			}
 		}
 	})
@@ -104,9 +104,9 @@
 	for _, action := range actions {
 		switch action := action.(type) {
 		case executor.RecordEvent:
-			s.record(a.id, action.Event)
+			s.recordEvent(a.id, action.Event)
 		case executor.Run:
-			s.run(a, action)
+			s.runTask(a, action)
 		case executor.Done:
 			s.toEntry(action.Entry, coordinator.TaskDone{Agent: a.id, Key: action.Key, Epoch: action.Epoch, Broken: action.Broken,
 				Body: action.Body, Detail: action.Detail, RunTime: action.RunTime}, coordinator.LoadReceived{Agent: a.id, Load: action.Load})
@@ -125,17 +125,17 @@
 	}
 }
 
-// run is the upstream: the payload is how long the task takes.
-func (s *Session) run(a *agentNode, run executor.Run) {
+// runTask acts as the upstream. The payload is the run time of the task.
+func (s *Session) runTask(a *agentNode, run executor.Run) {
 	id := a.id
-	span, err := time.ParseDuration(string(run.Payload))
+	duration, err := time.ParseDuration(string(run.Payload))
 	ended := executor.RunEnded{Key: run.Key, Broken: err != nil, Body: []byte("done by " + id.Name)}
 	if err != nil {
 		ended.Body, ended.Detail = nil, "the payload is not a duration"
 	}
-	s.after(span, func() {
+	s.after(duration, func() {
 		if a.alive && a.id == id {
-			s.agent(a, ended)
+			s.stepAgent(a, ended)
 		}
 	})
 }
@@ -145,7 +145,7 @@
 		for _, e := range s.entries {
 			for _, event := range events {
 				if e.alive && e.id == id {
-					s.entry(e, event)
+					s.stepEntry(e, event)
 				}
 			}
 		}
--- a/local/transcriber/script.go
+++ b/local/transcriber/script.go
@@ -9,36 +9,36 @@
 	"oleandertally/entry/coordinator"
 )
 
-// Submit sends a job of a caller to entry i, from 0. Each task takes the time that runs gives.
+// Submit sends a job of a caller to entry i, from 0. The job has one task for each run time in runs.
 func (s *Session) Submit(caller string, i int, key, profile string, timeLeft time.Duration, runs ...time.Duration) {
 	e := s.entries[i]
 	job := specifier.Job{Team: "web", Key: key, ID: specifier.NewJobID("web", key), Profile: profile, Deadline: s.now.Add(timeLeft)}
 	for n, run := range runs {
 		job.Tasks = append(job.Tasks, specifier.Task{ID: fmt.Sprintf("t%d", n+1), Payload: []byte(run.String())})
 	}
-	s.say("%s: submits %s (%s, %d tasks, %v left) to %s", caller, key, profile, len(runs), timeLeft, e.id.Name)
+	s.logf("%s: submits %s (%s, %d tasks, %v left) to %s", caller, key, profile, len(runs), timeLeft, e.id.Name)
 	if !e.alive {
-		s.say("%s: connection to %s refused", caller, e.id.Name)
+		s.logf("%s: connection to %s refused", caller, e.id.Name)
 		return
 	}
 	s.repeatable[job.ID] = s.state.Configuration().Profiles[profile].Repeatable
-	waiter := coordinator.Waiter(s.next())
+	waiter := coordinator.Waiter(s.nextNumber())
 	e.callers[waiter] = caller
-	s.entry(e, coordinator.Submitted{Waiter: waiter, Job: job})
+	s.stepEntry(e, coordinator.Submitted{Waiter: waiter, Job: job})
 }
 
 // Cancel cancels a job through entry i.
 func (s *Session) Cancel(caller string, i int, key string) {
 	e := s.entries[i]
-	s.say("%s: cancels %s at %s", caller, key, e.id.Name)
-	waiter := coordinator.Waiter(s.next())
+	s.logf("%s: cancels %s at %s", caller, key, e.id.Name)
+	waiter := coordinator.Waiter(s.nextNumber())
 	e.callers[waiter] = caller
-	s.entry(e, coordinator.CancelRequested{Waiter: waiter, Job: specifier.NewJobID("web", key)})
+	s.stepEntry(e, coordinator.CancelRequested{Waiter: waiter, Job: specifier.NewJobID("web", key)})
 }
 
-// Configure makes an operator's change.
+// Configure proposes an operator's change of the configuration.
 func (s *Session) Configure(change specifier.ChangeConfiguration) {
-	s.say("%s: changes %s from revision %d, request %s", change.Operator, profileNames(change), change.From, change.RequestID)
+	s.logf("%s: changes %s from revision %d, request %s", change.Operator, profileNames(change), change.From, change.RequestID)
 	s.after(s.site.Commit, func() {
 		d := s.apply(change)
 		text := fmt.Sprintf("%s at revision %d", d.Verdict, d.Revision)
@@ -48,45 +48,45 @@
 		if d.Detail != "" {
 			text += ": " + d.Detail
 		}
-		s.say("%s: request %s is %s", change.Operator, change.RequestID, text)
+		s.logf("%s: request %s is %s", change.Operator, change.RequestID, text)
 	})
 }
 
-// Drain sets whether a member drains.
+// Drain sets or clears the drain state of a member.
 func (s *Session) Drain(operator, name string, draining bool) {
-	s.say("%s: drain of %s is %v", operator, name, draining)
+	s.logf("%s: drain of %s is %v", operator, name, draining)
 	s.after(s.site.Commit, func() { s.apply(specifier.DrainMember{Name: name, Draining: draining}) })
 }
 
-// RestartAgent replaces worker i, from 0, by a new run, as a restarted process does.
+// RestartAgent kills the agent of worker i, from 0, and starts it as a new incarnation.
 func (s *Session) RestartAgent(i int) {
-	s.say("%s restarts", s.agents[i].id.Name)
+	s.logf("%s restarts", s.agents[i].id.Name)
 	s.killAgent(s.agents[i])
 	s.startAgent(s.agents[i])
 }
 
-// RestartEntry replaces entry i by a new run.
+// RestartEntry kills entry i and starts it as a new incarnation.
 func (s *Session) RestartEntry(i int) {
-	s.say("%s restarts", s.entries[i].id.Name)
+	s.logf("%s restarts", s.entries[i].id.Name)
 	s.killEntry(s.entries[i])
 	s.startEntry(s.entries[i])
 }
 
-// StopEntry makes entry i refuse new jobs, which is how its planned stop begins.
+// StopEntry begins a graceful shutdown of entry i, which then refuses new jobs.
 func (s *Session) StopEntry(i int) {
-	s.say("%s begins its planned stop", s.entries[i].id.Name)
-	s.entry(s.entries[i], coordinator.DrainRequested{})
+	s.logf("%s begins its planned stop", s.entries[i].id.Name)
+	s.stepEntry(s.entries[i], coordinator.DrainRequested{})
 }
 
-// KillEntry ends entry i without notice.
+// KillEntry terminates entry i without notice.
 func (s *Session) KillEntry(i int) {
-	s.say("%s dies", s.entries[i].id.Name)
+	s.logf("%s dies", s.entries[i].id.Name)
 	s.killEntry(s.entries[i])
 }
 
-// LoseZone ends every process of an availability zone without notice.
+// LoseZone terminates every process of an availability zone without notice.
 func (s *Session) LoseZone(zone string) {
-	s.say("zone %s is lost", zone)
+	s.logf("zone %s is lost", zone)
 	for _, e := range s.entries {
 		if e.zone == zone && e.alive {
 			s.killEntry(e)
--- a/local/transcriber/session.go
+++ b/local/transcriber/session.go
@@ -15,34 +15,34 @@
 
 const (
 	maxSubmissions = 1000
-	queueBound     = 100
-	heldBytes      = 1 << 20
-	// leased outlasts every session: the script ends members by name instead.
-	leased = 24 * time.Hour
+	maxQueue       = 100
+	maxResultBytes = 1 << 20
+	// leaseDuration is longer than any session, because scripts remove members explicitly.
+	leaseDuration = 24 * time.Hour
 )
 
-// Session is a site on a held clock. It is made by New.
+// Session is a simulated site with its clock. It is made by New.
 type Session struct {
-	site    Site
-	now     time.Time
-	moments container.Heap[moment]
-	last    uint64 // of moments, waiters, incarnations, links and log indexes
-	state   *registrar.Registrar
-	version uint64
-	seen    specifier.Revision
-	entries []*entryNode
-	agents  []*agentNode
-	counts  map[string]uint64
-	events  []recorder.Event
-	text    strings.Builder
+	site              Site
+	now               time.Time
+	timers            container.Heap[timer]
+	lastNumber        uint64 // of the numbers for timers, waiters and incarnations
+	state             *registrar.Registrar
+	publishedVersion  uint64
+	publishedRevision specifier.Revision
+	entries           []*entryNode
+	agents            []*agentNode
+	eventCounts       map[string]uint64 // by process
+	events            []recorder.Event
+	log               strings.Builder
 
 	repeatable map[specifier.JobID]bool
 }
 
-// New starts every process of a site at nine o'clock.
+// New starts every process of a site, at nine o'clock on the simulated clock.
 func New(site Site) *Session {
 	s := &Session{site: site, now: time.Date(2026, 5, 4, 9, 0, 0, 0, time.UTC), state: registrar.New(maxSubmissions),
-		moments: container.Heap[moment]{Less: moment.before}, counts: make(map[string]uint64),
+		timers: container.Heap[timer]{Less: timer.before}, eventCounts: make(map[string]uint64),
 		repeatable: make(map[specifier.JobID]bool)}
 	s.apply(specifier.ChangeConfiguration{RequestID: "first", Operator: "setup", Profiles: site.Profiles})
 	for i, zone := range site.Zones {
@@ -57,21 +57,21 @@
 	return s
 }
 
-// Events returns what every process recorded.
+// Events returns the events that the processes have recorded.
 func (s *Session) Events() []recorder.Event { return s.events }
 
-// Transcript returns what callers and operators did and saw, and the time line.
+// Transcript returns the requests and answers of callers and operators, and then the time line.
 func (s *Session) Transcript() string {
 	var timeline strings.Builder
-	_ = merger.WriteText(&timeline, merger.Merge([]merger.Log{{Events: s.events}}), specifier.JobID{}) // writes to memory, cannot fail
-	return s.text.String() + "\n" + timeline.String()
+	_ = merger.WriteText(&timeline, merger.Merge([]merger.Log{{Events: s.events}}), specifier.JobID{}) // writes to memory cannot fail
+	return s.log.String() + "\n" + timeline.String()
 }
 
-// Advance moves the clock and handles what happens meanwhile, one moment after the other.
-func (s *Session) Advance(span time.Duration) {
-	for end := s.now.Add(span); ; {
-		next, ok := s.moments.Peek()
-		due := s.due()
+// Advance moves the clock forward and handles the timers and deadlines on the way, in the order of their times.
+func (s *Session) Advance(duration time.Duration) {
+	for end := s.now.Add(duration); ; {
+		next, ok := s.timers.Peek()
+		due := s.nextDeadline()
 		if !due.IsZero() && !due.After(end) && (!ok || due.Before(next.at)) {
 			s.now = latest(s.now, due)
 			s.expire()
@@ -81,31 +81,31 @@
 			s.now = end
 			return
 		}
-		s.moments.Pop()
+		s.timers.Pop()
 		s.now = next.at
-		next.do()
+		next.run()
 	}
 }
 
-// due returns the earliest deadline of any process.
-func (s *Session) due() time.Time {
-	var due time.Time
-	sooner := func(next time.Time) {
-		if !next.IsZero() && (due.IsZero() || next.Before(due)) {
-			due = next
+// nextDeadline returns the earliest deadline of any process.
+func (s *Session) nextDeadline() time.Time {
+	var earliest time.Time
+	consider := func(next time.Time) {
+		if !next.IsZero() && (earliest.IsZero() || next.Before(earliest)) {
+			earliest = next
 		}
 	}
 	for _, e := range s.entries {
 		if e.alive {
-			sooner(e.machine.Next())
+			consider(e.machine.Next())
 		}
 	}
 	for _, a := range s.agents {
 		if a.alive {
-			sooner(a.machine.Next())
+			consider(a.machine.Next())
 		}
 	}
-	return due
+	return earliest
 }
 
 func (s *Session) expire() {
@@ -121,31 +121,31 @@
 	}
 }
 
-func (s *Session) next() uint64 { s.last++; return s.last }
+func (s *Session) nextNumber() uint64 { s.lastNumber++; return s.lastNumber }
 
-func (s *Session) after(span time.Duration, do func()) {
-	s.moments.Push(moment{at: s.now.Add(span), number: s.next(), do: do})
+func (s *Session) after(delay time.Duration, run func()) {
+	s.timers.Push(timer{at: s.now.Add(delay), sequence: s.nextNumber(), run: run})
 }
 
-// apply commits a command and pushes what changed to the entries and agents.
+// apply commits a command. If it changes the membership or the configuration, the processes are updated a hop later.
 func (s *Session) apply(command specifier.Command) specifier.Decision {
 	decision := s.state.Apply(s.state.Index()+1, specifier.Batch{Commands: []specifier.Command{command}})[0]
-	if s.version != s.state.MemberVersion() || s.seen != s.state.Configuration().Revision {
-		s.version, s.seen = s.state.MemberVersion(), s.state.Configuration().Revision
+	if s.publishedVersion != s.state.MemberVersion() || s.publishedRevision != s.state.Configuration().Revision {
+		s.publishedVersion, s.publishedRevision = s.state.MemberVersion(), s.state.Configuration().Revision
 		s.after(s.site.Hop, s.publish)
 	}
 	return decision
 }
 
-func (s *Session) record(id specifier.Identity, event recorder.Event) {
+func (s *Session) recordEvent(id specifier.Identity, event recorder.Event) {
 	process := id.String()
-	s.counts[process]++
-	event.At, event.Process, event.Sequence = s.now, process, s.counts[process]
+	s.eventCounts[process]++
+	event.At, event.Process, event.Sequence = s.now, process, s.eventCounts[process]
 	s.events = append(s.events, event)
 }
 
-func (s *Session) say(format string, args ...any) {
-	fmt.Fprintf(&s.text, "%s  %s\n", s.now.Format("15:04:05.000"), fmt.Sprintf(format, args...))
+func (s *Session) logf(format string, args ...any) {
+	fmt.Fprintf(&s.log, "%s  %s\n", s.now.Format("15:04:05.000"), fmt.Sprintf(format, args...))
 }
 
 func (s *Session) addr() netip.AddrPort {
--- a/local/transcriber/site.go
+++ b/local/transcriber/site.go
@@ -9,11 +9,11 @@
 // Site describes the processes of a session.
 type Site struct {
 	Service  string
-	Zones    []string // one entry in each
-	Workers  int      // over the zones in turn
-	Slots    int      // of each worker
-	Hop      time.Duration
-	Commit   time.Duration // from a proposal to its decision
-	Lease    time.Duration // from the loss of a process to its record as down
+	Zones    []string      // each has one entry
+	Workers  int           // assigned to the zones round-robin
+	Slots    int           // slots of each worker
+	Hop      time.Duration // delay of a message between two processes
+	Commit   time.Duration // time from a proposal to its decision
+	Lease    time.Duration // time from the loss of a process until it is recorded as down
 	Profiles []specifier.Profile
 }
