--- a/local/deployer/claim.go
+++ b/local/deployer/claim.go
@@ -8,14 +8,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Claim holds the addresses of one site, so that sites of several processes on one host do not meet.
+// Claim reserves the addresses of one site, so that sites of several test processes on one host do not collide.
 type Claim struct {
 	Layout   Layout
 	listener net.Listener
 }
 
-// NewClaim claims a free part of the loopback range, of the second bytes 64 to 254. The port that it
-// listens on is the claim itself: no role uses it, and it is free again when its process ends.
+// NewClaim claims a free /16 of the loopback range, with a second byte of 64 to 254. The claim is a listener on a
+// port that no role uses, so the operating system releases it when the process ends.
 func NewClaim() (*Claim, error) {
 	var err error
 	for _, i := range rand.Perm(191) {
@@ -25,8 +25,8 @@
 			return &Claim{Layout: Layout{Base: base}, listener: listener}, nil
 		}
 	}
-	return nil, errors.Wrap(err, "deployer: no part of the loopback range is free")
+	return nil, errors.Wrap(err, "deployer: no /16 of the loopback range is free")
 }
 
-// Release gives the addresses up.
+// Release releases the addresses.
 func (c *Claim) Release() { c.listener.Close() }
--- a/local/deployer/doc.go
+++ b/local/deployer/doc.go
@@ -1,3 +1,3 @@
-// Package deployer runs every role of a site in one process on loopback, with stand-ins for the
-// upstreams, and can kill and restart each of them.
+// Package deployer runs every role of a site in one process on loopback, with emulated upstreams, and
+// can kill, stop and restart its processes.
 package deployer
--- a/local/deployer/drain_test.go
+++ b/local/deployer/drain_test.go
@@ -20,8 +20,8 @@
 	"oleandertally/replay/tracer"
 )
 
-// story lists the events of a site's jobs, for the report of a failure.
-func story(site *Site) string {
+// timeline lists the recorded events of a site, for the message of a failed test.
+func timeline(site *Site) string {
 	var text strings.Builder
 	events, _ := site.Events()
 	slices.SortStableFunc(events, func(a, b recorder.Event) int { return a.At.Compare(b.At) })
@@ -32,7 +32,7 @@
 	return text.String()
 }
 
-// Guards against a stop of the whole site that cuts off a job in flight, or that never ends.
+// Guards against a drain of the whole site that aborts jobs in flight or never finishes.
 func TestDrainAnswersJobsInFlight(t *testing.T) {
 	starts := &emulator.StartLog{}
 	site := startSite(t, starts)
@@ -40,7 +40,7 @@
 	for entry := range site.Entries {
 		awaitService(t, site, sender, entry)
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), stopBound)
+	ctx, cancel := context.WithTimeout(t.Context(), stopTimeout)
 	defer cancel()
 	var group errgroup.Group
 	results := make([]submitter.Result, 6)
@@ -55,7 +55,7 @@
 	for !started() {
 		select {
 		case <-ctx.Done():
-			t.Fatalf("the jobs did not start\n%s", story(site))
+			t.Fatalf("the jobs did not start\n%s", timeline(site))
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
--- a/local/deployer/harness_test.go
+++ b/local/deployer/harness_test.go
@@ -26,15 +26,15 @@
 )
 
 const (
-	copies = 100
-	team   = "web"
-	// lease is short because a takeover waits for it.
-	lease = 2 * time.Second
-	// bound ends a test whose answers never come.
-	bound = 45 * time.Second
+	requestCopies = 100
+	teamName      = "web"
+	// memberLease is short because a takeover waits until it expires.
+	memberLease = 2 * time.Second
+	// testTimeout ends a test whose jobs are never answered.
+	testTimeout = 45 * time.Second
 )
 
-// harness is a site, callers, and the upstreams' own account of what ran.
+// harness is a site with its callers and the upstreams' own log of started tasks.
 type harness struct {
 	t      *testing.T
 	ctx    context.Context
@@ -43,12 +43,12 @@
 	watch  *startWatch
 	sender *submitter.Submitter
 
-	warmUps map[specifier.JobID]bool // the harness's own jobs
+	warmUpJobs map[specifier.JobID]bool // jobs that the harness submitted itself
 }
 
-// newHarness starts a site of two entries, three controllers and four workers. watch is told of every start.
+// newHarness starts a site of two entries, three controllers and four workers. watch receives every start of a task.
 func newHarness(t *testing.T, watch *startWatch) *harness {
-	ctx, cancel := context.WithTimeout(t.Context(), bound)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	starts := &emulator.StartLog{Out: watch}
 	joins := newJoinWatch(2)
 	claim, err := deployer.NewClaim()
@@ -56,11 +56,11 @@
 	site := &deployer.Site{
 		Layout:     claim.Layout,
 		DataFolder: t.TempDir(), Zones: []string{"alajuela", "heredia", "cartago"}, Service: "reservas",
-		Entries: 2, Controllers: 3, Workers: 4, MemberLease: lease, Starts: starts, Log: zerolog.New(joins),
+		Entries: 2, Controllers: 3, Workers: 4, MemberLease: memberLease, Starts: starts, Log: zerolog.New(joins),
 		Profiles: []specifier.Profile{{Name: "hold", Service: "reservas"}, {Name: "quote", Service: "reservas", Repeatable: true}},
 	}
-	transport := &http.Transport{MaxIdleConnsPerHost: 2 * copies}
-	h := &harness{t: t, ctx: ctx, site: site, starts: starts, watch: watch, warmUps: make(map[specifier.JobID]bool),
+	transport := &http.Transport{MaxIdleConnsPerHost: 2 * requestCopies}
+	h := &harness{t: t, ctx: ctx, site: site, starts: starts, watch: watch, warmUpJobs: make(map[specifier.JobID]bool),
 		sender: &submitter.Submitter{Client: &http.Client{Transport: transport}}}
 	for i := range site.Entries {
 		h.sender.Entries = append(h.sender.Entries, site.Layout.Entry(i))
@@ -73,35 +73,35 @@
 		cancel()
 	})
 	must.NoError(t, err)
-	h.warm()
-	// A cluster whose controllers are not all voters yet does not survive the loss of its first one.
-	h.await(joins.joined, "the controllers did not all join")
+	h.warmUp()
+	// Until all controllers are voters, the cluster does not survive the loss of its first controller.
+	h.await(joins.joined, "not all controllers became voters")
 	return h
 }
 
-// warm waits until every entry has sent a task to every agent.
-func (h *harness) warm() {
+// warmUp submits jobs until every entry has had a task run by every agent.
+func (h *harness) warmUp() {
 	keys, err := h.sender.Warm(h.ctx, newJob("hold", h.site.Slots(), 20*time.Millisecond), h.site.Workers)
 	must.NoError(h.t, err)
 	for _, key := range keys {
-		h.warmUps[idOf(key)] = true
+		h.warmUpJobs[jobID(key)] = true
 	}
-	h.watch.arm()
+	h.watch.reset()
 }
 
-// newJob returns a job of equal tasks.
+// newJob returns a job whose tasks all take the same time.
 func newJob(profile string, tasks int, run time.Duration) tracer.Job {
-	job := tracer.Job{Team: team, Profile: profile, TimeLeftMillis: 60_000}
+	job := tracer.Job{Team: teamName, Profile: profile, TimeLeftMillis: 60_000}
 	for range tasks {
 		job.RunMillis = append(job.RunMillis, int(run.Milliseconds()))
 	}
 	return job
 }
 
-func idOf(key string) specifier.JobID { return specifier.NewJobID(team, key) }
+func jobID(key string) specifier.JobID { return specifier.NewJobID(teamName, key) }
 
-// call submits until an answer comes, through the other entry whenever the connection breaks.
-func (h *harness) call(entry int, key string, body []byte) responder.Response {
+// submitUntilAnswered submits a job until it is answered, and changes the entry whenever a connection breaks.
+func (h *harness) submitUntilAnswered(entry int, key string, body []byte) responder.Response {
 	for ; h.ctx.Err() == nil; entry++ {
 		response, _, err := h.sender.Post(h.ctx, entry, key, body)
 		if err == nil {
@@ -111,42 +111,42 @@
 	return responder.Response{}
 }
 
-// callAll sends one body in copies through all entries at once; the answers come from wait.
-func (h *harness) callAll(key string, job tracer.Job) (wait func() []responder.Response) {
+// submitCopies sends copies of one request through all entries at once. wait returns the answers.
+func (h *harness) submitCopies(key string, job tracer.Job) (wait func() []responder.Response) {
 	body, err := json.Marshal(submitter.NewSubmission(job))
 	must.NoError(h.t, err)
-	responses := make([]responder.Response, copies)
+	responses := make([]responder.Response, requestCopies)
 	var group sync.WaitGroup
-	for i := range copies {
-		group.Go(func() { responses[i] = h.call(i, key, body) })
+	for i := range requestCopies {
+		group.Go(func() { responses[i] = h.submitUntilAnswered(i, key, body) })
 	}
 	return func() []responder.Response {
 		group.Wait()
-		must.NoError(h.t, h.ctx.Err(), must.Func(func() string { return h.story(key) }))
+		must.NoError(h.t, h.ctx.Err(), must.Func(func() string { return h.timeline(key) }))
 		return responses
 	}
 }
 
-// awaitStarts waits until the watch has seen its number of starts.
+// awaitStarts waits until the watch has seen as many starts as its threshold.
 func (h *harness) awaitStarts() {
 	h.t.Helper()
 	h.await(h.watch.reached, "the tasks did not start")
 }
 
-func (h *harness) await(state <-chan struct{}, otherwise string) {
+func (h *harness) await(condition <-chan struct{}, message string) {
 	h.t.Helper()
 	select {
-	case <-state:
+	case <-condition:
 	case <-h.ctx.Done():
-		h.t.Fatal(otherwise)
+		h.t.Fatal(message)
 	}
 }
 
-// owner returns the index of the entry whose proposal was accepted.
+// owner returns the index of the entry that owns the job, which is the one whose proposal was accepted.
 func (h *harness) owner(key string) int {
 	events, _ := h.site.Events()
 	for _, event := range events {
-		if event.Kind != recorder.JobAccepted || event.Job != idOf(key) {
+		if event.Kind != recorder.JobAccepted || event.Job != jobID(key) {
 			continue
 		}
 		for i := range h.site.Entries {
@@ -159,7 +159,7 @@
 	return 0
 }
 
-// mustAgree checks that every caller got the same whole answer, and returns it.
+// mustAgree checks that every caller got the same answer, and returns it.
 func (h *harness) mustAgree(responses []responder.Response) responder.Response {
 	h.t.Helper()
 	for _, response := range responses {
@@ -168,38 +168,38 @@
 	return responses[0]
 }
 
-// mustStart checks the upstreams' own count of the starts of every task of a job.
-func (h *harness) mustStart(key string, tasks, least, most int) {
+// mustCountStarts checks in the upstreams' log how often each task of a job started.
+func (h *harness) mustCountStarts(key string, tasks, minStarts, maxStarts int) {
 	h.t.Helper()
 	for i := range tasks {
-		must.Between(h.t, least, h.starts.Of(idOf(key).String(), fmt.Sprintf("t%03d", i)), most, must.Sprintf("starts of %s task %d", key, i))
+		must.Between(h.t, minStarts, h.starts.Of(jobID(key).String(), fmt.Sprintf("t%03d", i)), maxStarts, must.Sprintf("starts of %s task %d", key, i))
 	}
 }
 
-// mustBeTrue checks one answer against the upstreams' own log of starts.
-func (h *harness) mustBeTrue(key string, tasks int, response responder.Response) {
+// mustMatchStarts compares one answer with the upstreams' log of starts.
+func (h *harness) mustMatchStarts(key string, tasks int, response responder.Response) {
 	h.t.Helper()
 	switch response.Outcome {
 	case specifier.Complete:
 		must.Len(h.t, tasks, response.Results)
-		h.mustStart(key, tasks, 1, 1)
+		h.mustCountStarts(key, tasks, 1, 1)
 	case specifier.NotRun:
-		h.mustStart(key, tasks, 0, 0)
+		h.mustCountStarts(key, tasks, 0, 0)
 	case specifier.Failed:
-		h.mustStart(key, tasks, 0, 1)
+		h.mustCountStarts(key, tasks, 0, 1)
 	default:
 		h.t.Fatalf("%s: outcome %q", key, response.Outcome)
 	}
 }
 
-// mustHold checks every promise over the recorded events of all processes.
-func (h *harness) mustHold(tasks int, repeatable bool) {
+// mustKeepGuarantees checks every guarantee against the recorded events of all processes.
+func (h *harness) mustKeepGuarantees(tasks int, repeatable bool) {
 	h.t.Helper()
 	events, dropped := h.site.Events()
 	must.Zero(h.t, dropped)
 	facts := verifier.Facts{
 		Tasks: func(id specifier.JobID) int {
-			if h.warmUps[id] {
+			if h.warmUpJobs[id] {
 				return h.site.Slots()
 			}
 			return tasks
@@ -211,12 +211,12 @@
 	}
 }
 
-// story lists what the processes recorded of a job, and every loss, for the report of a failure.
-func (h *harness) story(key string) string {
+// timeline lists the events of one job and those that concern no job, for the message of a failed test.
+func (h *harness) timeline(key string) string {
 	events, _ := h.site.Events()
 	var text strings.Builder
 	_ = merger.WriteText(&text, merger.Merge([]merger.Log{{Events: slices.DeleteFunc(events, func(event recorder.Event) bool {
-		return event.Job != idOf(key) && event.Job != (specifier.JobID{})
+		return event.Job != jobID(key) && event.Job != (specifier.JobID{})
 	})}}), specifier.JobID{})
 	return text.String()
 }
--- a/local/deployer/joinwatch_test.go
+++ b/local/deployer/joinwatch_test.go
@@ -5,23 +5,25 @@
 	"sync"
 )
 
-// joinWatch reads the log of the controllers and tells when a number of them have become voters.
+// joinWatch reads the controllers' log and closes joined when a number of them have become voters.
 type joinWatch struct {
-	joins  int
-	joined chan struct{}
+	remaining int
+	joined    chan struct{}
 
 	mutex sync.Mutex
 }
 
-func newJoinWatch(joins int) *joinWatch { return &joinWatch{joins: joins, joined: make(chan struct{})} }
+func newJoinWatch(joins int) *joinWatch {
+	return &joinWatch{remaining: joins, joined: make(chan struct{})}
+}
 
 // Write takes one log line.
 func (w *joinWatch) Write(line []byte) (int, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if bytes.Contains(line, []byte(`"Event":"Joined"`)) {
-		w.joins--
-		if w.joins == 0 {
+		w.remaining--
+		if w.remaining == 0 {
 			close(w.joined)
 		}
 	}
--- a/local/deployer/layout.go
+++ b/local/deployer/layout.go
@@ -4,17 +4,17 @@
 	"net/netip"
 )
 
-// Layout gives each process of a site its address. A process has an IP number of its own in
-// the loopback range, as if it were on its own host.
+// Layout assigns an address to each process of a site. Each has its own IP address in the loopback range, as if it ran
+// on its own host.
 type Layout struct {
-	Base netip.Addr // its first two bytes name the site
+	Base netip.Addr // the first two bytes identify the site
 }
 
-// ports of every process.
+// The ports are the same on every host.
 const (
-	httpPort     = 8080 // entry, for callers
+	httpPort     = 8080 // of an entry, for callers
 	peerPort     = 7000 // gRPC
-	announcePort = 7001 // agent, for its upstream
+	announcePort = 7001 // of an agent, for its upstream
 	upstreamPort = 9000
 )
 
--- a/local/deployer/leader.go
+++ b/local/deployer/leader.go
@@ -11,13 +11,13 @@
 	"oleandertally/core/specifier"
 )
 
-// Leader returns the index of the leading controller. It asks each one in turn, by a resend of the
-// first change of the configuration: only a leader decides, and a resend changes nothing.
+// Leader returns the index of the leading controller. It sends the initial configuration change again to each controller
+// in turn: only the leader decides on it, and a repeated change has no effect.
 func (s *Site) Leader(ctx context.Context) (int, error) {
 	pool := &dialer.Pool{Credentials: insecure.NewCredentials()}
 	defer pool.Close()
 	for i := range s.Controllers {
-		leads, err := s.leads(ctx, pool, i)
+		leads, err := s.isLeader(ctx, pool, i)
 		if err == nil && leads {
 			return i, nil
 		}
@@ -28,7 +28,7 @@
 	return 0, errors.New("deployer: no controller leads")
 }
 
-func (s *Site) leads(ctx context.Context, pool *dialer.Pool, i int) (bool, error) {
+func (s *Site) isLeader(ctx context.Context, pool *dialer.Pool, i int) (bool, error) {
 	conn, err := pool.Conn(s.Layout.Controller(i))
 	if err != nil {
 		return false, err
@@ -39,7 +39,7 @@
 	if err != nil {
 		return false, errors.Wrap(err, "deployer: open the stream")
 	}
-	command := encoder.EncodeCommand(s.firstChange())
+	command := encoder.EncodeCommand(s.initialChange())
 	if err := stream.Send(&encoder.Proposals{Items: []*encoder.Proposal{{Sequence: 1, Command: command}}}); err != nil {
 		return false, errors.Wrap(err, "deployer: propose")
 	}
@@ -54,6 +54,6 @@
 	return decision.Verdict == specifier.Applied, err
 }
 
-func (s *Site) firstChange() specifier.ChangeConfiguration {
+func (s *Site) initialChange() specifier.ChangeConfiguration {
 	return specifier.ChangeConfiguration{RequestID: "local-start", Operator: "local", Profiles: s.Profiles, Teams: s.Teams}
 }
--- a/local/deployer/process.go
+++ b/local/deployer/process.go
@@ -15,8 +15,8 @@
 	done   chan struct{}
 }
 
-// start runs a role in the group until it is killed or ctx ends. A role that ends by itself
-// with an error ends the site. All its goroutines carry kind in processor profiles.
+// start runs a role in the group until it is killed or ctx ends. A role that ends by itself with an error ends the
+// site. In CPU profiles, its goroutines are labelled with kind.
 func start(ctx context.Context, group *errgroup.Group, kind string, role role) *process {
 	ctx, cancel := context.WithCancel(ctx)
 	p := &process{role: role, cancel: cancel, done: make(chan struct{})}
@@ -32,20 +32,20 @@
 	return p
 }
 
-// kill ends the role at once and waits for it.
+// kill terminates the role immediately and waits until it has ended.
 func (p *process) kill() {
 	p.cancel()
 	<-p.done
 }
 
-// stop runs the steps of a graceful shutdown and then ends the role.
+// stop runs the steps of a graceful shutdown and then terminates the role.
 func (p *process) stop(ctx context.Context) error {
 	defer p.kill()
-	return p.step(ctx, 0, len(p.role.Steps()))
+	return p.runSteps(ctx, 0, len(p.role.Steps()))
 }
 
-// step runs some steps of a planned stop.
-func (p *process) step(ctx context.Context, from, to int) error {
+// runSteps runs the steps of a graceful shutdown from from up to, but not including, to.
+func (p *process) runSteps(ctx context.Context, from, to int) error {
 	for _, step := range p.role.Steps()[from:to] {
 		if err := step.Run(ctx); err != nil {
 			return errors.Wrap(err, step.Name)
--- a/local/deployer/role.go
+++ b/local/deployer/role.go
@@ -6,7 +6,7 @@
 	"oleandertally/core/supervisor"
 )
 
-// role is what a process runs.
+// role is an entry, agent, controller or upstream with the steps of its graceful shutdown.
 type role interface {
 	Run(ctx context.Context) error
 	Steps() []supervisor.Step
--- a/local/deployer/site.go
+++ b/local/deployer/site.go
@@ -33,16 +33,16 @@
 )
 
 const (
-	eventsKept     = 1 << 18
+	maxEvents      = 1 << 18
 	maxSubmissions = 100_000
-	slots          = 8
-	perRack        = 3
+	slotsPerWorker = 8
+	workersPerRack = 3
 )
 
-// Site is a whole site. Exported fields are set before Start.
+// Site runs the processes of a site. Exported fields are set before Start.
 type Site struct {
 	Layout      Layout
-	DataFolder  string   // holds a data folder for each controller
+	DataFolder  string   // has a data folder for each controller
 	Zones       []string // availability zones
 	Service     string
 	Entries     int
@@ -53,7 +53,7 @@
 	Teams       []specifier.Team
 	Starts      *emulator.StartLog
 	Log         zerolog.Logger
-	Stats       stats.Handler // of the streams that entries open; default none
+	Stats       stats.Handler // optional, for the streams that entries open
 
 	ctx         context.Context
 	cancel      context.CancelFunc
@@ -65,7 +65,7 @@
 	buffers     []*recorder.Buffer
 }
 
-// Start starts every role and returns once the profiles are in force at the controllers.
+// Start starts every role and returns when the controllers have applied the initial configuration.
 func (s *Site) Start(ctx context.Context) error {
 	ctx, s.cancel = context.WithCancel(ctx)
 	s.group, s.ctx = errgroup.WithContext(ctx)
@@ -82,24 +82,26 @@
 	return s.configure()
 }
 
-// Stop ends every role and returns the first error of one that ended by itself.
+// Stop terminates every role and returns the first error of a role that ended by itself.
 func (s *Site) Stop() error {
 	s.cancel()
 	return s.group.Wait()
 }
 
-// Drain ends entries and agents as a planned stop does, so that nothing in flight is cut off: entries answer
-// their jobs, agents leave while the entries can still release them, and then the entries leave. Stop
-// ends the rest.
+// Drain shuts entries and agents down gracefully, so that no job in flight is aborted: first the entries answer their
+// jobs, then the agents depart while the entries can still release them, and last the entries depart. The other roles
+// run until Stop.
 func (s *Site) Drain(ctx context.Context) error {
-	answer := func(ctx context.Context, entry *process) error { return entry.step(ctx, 0, 1) }
-	leave := func(ctx context.Context, entry *process) error { return entry.step(ctx, 1, len(entry.role.Steps())) }
-	end := func(ctx context.Context, agent *process) error { return agent.stop(ctx) }
-	return errors.CombineErrors(inParallel(ctx, s.entries, answer),
-		errors.CombineErrors(inParallel(ctx, s.agents, end), inParallel(ctx, s.entries, leave)))
+	answerJobs := func(ctx context.Context, entry *process) error { return entry.runSteps(ctx, 0, 1) }
+	depart := func(ctx context.Context, entry *process) error {
+		return entry.runSteps(ctx, 1, len(entry.role.Steps()))
+	}
+	stopAgent := func(ctx context.Context, agent *process) error { return agent.stop(ctx) }
+	return errors.CombineErrors(inParallel(ctx, s.entries, answerJobs),
+		errors.CombineErrors(inParallel(ctx, s.agents, stopAgent), inParallel(ctx, s.entries, depart)))
 }
 
-// inParallel does the same to all roles, and returns the first error.
+// inParallel calls do for all processes at once and returns the first error.
 func inParallel(ctx context.Context, roles []*process, do func(context.Context, *process) error) error {
 	group, ctx := errgroup.WithContext(ctx)
 	for _, role := range roles {
@@ -108,36 +110,36 @@
 	return group.Wait()
 }
 
-// KillEntry ends an entry at once.
+// KillEntry terminates an entry immediately.
 func (s *Site) KillEntry(i int) { s.entries[i].kill() }
 
-// StopEntry ends an entry as a planned stop does, and returns when it has left.
+// StopEntry shuts an entry down gracefully and returns when it has ended.
 func (s *Site) StopEntry(ctx context.Context, i int) error { return s.entries[i].stop(ctx) }
 
-// StopAgent ends an agent as a planned stop does, and returns when it has left.
+// StopAgent shuts an agent down gracefully and returns when it has ended.
 func (s *Site) StopAgent(ctx context.Context, i int) error { return s.agents[i].stop(ctx) }
 
 // RestartEntry starts a killed entry again, as a new incarnation.
 func (s *Site) RestartEntry(i int) { s.entries[i] = s.startEntry(i) }
 
-// KillAgent ends an agent at once; its upstream goes on.
+// KillAgent terminates an agent immediately. Its upstream keeps running.
 func (s *Site) KillAgent(i int) { s.agents[i].kill() }
 
-// KillController ends a controller at once.
+// KillController terminates a controller immediately.
 func (s *Site) KillController(i int) { s.controllers[i].kill() }
 
-// Events returns the recorded events of all processes and how many were dropped.
+// Events returns the recorded events of all processes and the number of dropped ones.
 func (s *Site) Events() (events []recorder.Event, dropped int) {
 	for _, buffer := range s.buffers {
-		own, lost := buffer.All()
-		events = append(events, own...)
-		dropped += lost
+		recorded, lostEvents := buffer.All()
+		events = append(events, recorded...)
+		dropped += lostEvents
 	}
 	return events, dropped
 }
 
-// Slots returns how many tasks run at once.
-func (s *Site) Slots() int { return s.Workers * slots }
+// Slots returns the number of slots of all workers.
+func (s *Site) Slots() int { return s.Workers * slotsPerWorker }
 
 func (s *Site) zone(i int) string { return s.Zones[i%len(s.Zones)] }
 
@@ -153,52 +155,52 @@
 	name := fmt.Sprintf("controller-%d", i+1)
 	controller := &server.Controller{Name: name, Zone: s.zone(i), Addr: s.Layout.Controller(i), DataFolder: filepath.Join(s.DataFolder, name), Peers: s.peers(),
 		Bootstrap: i == 0 && s.isNew(name), MemberLease: s.MemberLease, MaxSubmissions: maxSubmissions, MaxMessage: encoder.MaxMessage,
-		Consensus: replicator.Defaults(), Security: insecureSite(), Metrics: exporter.NewController(),
+		Consensus: replicator.Defaults(), Security: insecureAuthenticator(), Metrics: exporter.NewController(),
 		Health: supervisor.NewHealth(server.Conditions()...), Log: s.Log}
-	return start(s.ctx, s.group, "controller", abrupt{controller.Run})
+	return start(s.ctx, s.group, "controller", abruptRole{controller.Run})
 }
 
-// isNew reports whether the controller called name never ran. Only then it may begin a cluster.
+// isNew reports whether a controller has no data from an earlier run. Only then may it bootstrap a cluster.
 func (s *Site) isNew(name string) bool {
 	_, err := os.Stat(filepath.Join(s.DataFolder, name))
 	return errors.Is(err, os.ErrNotExist)
 }
 
-// insecureSite admits everybody: the site is on loopback.
-func insecureSite() *authenticator.Authenticator {
+// insecureAuthenticator accepts every peer, since the site is on loopback.
+func insecureAuthenticator() *authenticator.Authenticator {
 	security, err := authenticator.New(configurator.SecuritySettings{Insecure: true}, authenticator.Peer{}, time.Now, func(error) {})
 	if err != nil {
-		panic(err) // without certificates there is nothing to read
+		panic(err) // can't happen: without security there are no certificates to read
 	}
 	return security
 }
 
-func (s *Site) buffer() *recorder.Buffer {
-	buffer := &recorder.Buffer{Cap: eventsKept, Clock: time.Now}
+func (s *Site) newBuffer() *recorder.Buffer {
+	buffer := &recorder.Buffer{Cap: maxEvents, Clock: time.Now}
 	s.buffers = append(s.buffers, buffer)
 	return buffer
 }
 
 func (s *Site) startAgent(i int) *process {
 	settings := configurator.Defaults[configurator.AgentSettings]()
-	settings.Name, settings.Zone, settings.Rack, settings.Service = fmt.Sprintf("worker-%02d", i+1), s.zone(i/perRack), fmt.Sprintf("rack-%d", i/perRack+1), s.Service
+	settings.Name, settings.Zone, settings.Rack, settings.Service = fmt.Sprintf("worker-%02d", i+1), s.zone(i/workersPerRack), fmt.Sprintf("rack-%d", i/workersPerRack+1), s.Service
 	settings.AgentAddr, settings.AnnounceAddr, settings.Controllers = s.Layout.agent(i), s.Layout.announce(i), s.controllerAddrs()
-	agent := &agentrunner.Agent{Settings: settings, Security: insecureSite(), Events: s.buffer(), Log: s.Log,
+	agent := &agentrunner.Agent{Settings: settings, Security: insecureAuthenticator(), Events: s.newBuffer(), Log: s.Log,
 		Metrics: exporter.NewAgent(), Health: supervisor.NewHealth(agentrunner.Conditions()...)}
 	return start(s.ctx, s.group, "agent", agent)
 }
 
 func (s *Site) startUpstream(i int) *process {
 	upstream := &emulator.Upstream{Worker: fmt.Sprintf("worker-%02d", i+1), Addr: s.Layout.upstream(i), AgentAddr: s.Layout.announce(i),
-		Slots: slots, Starts: s.Starts}
-	return start(s.ctx, s.group, "upstream", abrupt{upstream.Run})
+		Slots: slotsPerWorker, Starts: s.Starts}
+	return start(s.ctx, s.group, "upstream", abruptRole{upstream.Run})
 }
 
 func (s *Site) startEntry(i int) *process {
 	settings := configurator.Defaults[configurator.EntrySettings]()
 	settings.Name, settings.Zone, settings.Rack = fmt.Sprintf("entry-%d", i+1), s.zone(i), fmt.Sprintf("entry-%d", i+1)
 	settings.HTTPAddr, settings.PeerAddr, settings.Controllers = s.Layout.Entry(i), s.Layout.entryPeer(i), s.controllerAddrs()
-	entry := &entryrunner.Entry{Settings: settings, Security: insecureSite(), Events: s.buffer(), Log: s.Log,
+	entry := &entryrunner.Entry{Settings: settings, Security: insecureAuthenticator(), Events: s.newBuffer(), Log: s.Log,
 		Stats: s.Stats, Metrics: exporter.NewEntry(), Health: supervisor.NewHealth(entryrunner.Conditions()...)}
 	return start(s.ctx, s.group, "entry", entry)
 }
@@ -211,7 +213,7 @@
 	return addrs
 }
 
-// configure puts the profiles and teams in force, as an operator would.
+// configure proposes the profiles and teams to the controllers, as an operator would, and waits for the decision.
 func (s *Site) configure() error {
 	ctx, cancel := context.WithTimeout(s.ctx, 20*time.Second)
 	defer cancel()
@@ -223,7 +225,7 @@
 	for c := range s.Controllers {
 		proposer.Controllers = append(proposer.Controllers, s.Layout.Controller(c))
 	}
-	proposer.Propose(s.firstChange())
+	proposer.Propose(s.initialChange())
 	group, groupCtx := errgroup.WithContext(ctx)
 	group.Go(func() error { return proposer.Run(groupCtx) })
 	var decision specifier.Decision
@@ -235,12 +237,12 @@
 		}
 		return err
 	})
-	_ = group.Wait() // the proposer always ends with the context's error
+	_ = group.Wait() // the error is that of the cancelled context
 	if cause := context.Cause(s.ctx); cause != nil {
-		return errors.Wrap(cause, "deployer: a role ended before the first configuration")
+		return errors.Wrap(cause, "deployer: a role ended before the initial configuration was applied")
 	}
 	if decision.Verdict != specifier.Applied {
-		return errors.Newf("deployer: the first configuration was not accepted: %s %s", decision.Verdict, decision.Detail)
+		return errors.Newf("deployer: the controllers did not apply the initial configuration: %s %s", decision.Verdict, decision.Detail)
 	}
 	return nil
 }
--- a/local/deployer/startwatch_test.go
+++ b/local/deployer/startwatch_test.go
@@ -5,45 +5,45 @@
 	"sync"
 )
 
-// startWatch takes the upstreams' log of starts and tells when a number of tasks have started since
-// it was armed.
+// startWatch reads the upstreams' log of starts and closes reached when as many tasks as its threshold have
+// started since reset.
 type startWatch struct {
-	after   int
-	reached chan struct{}
+	threshold int
+	reached   chan struct{}
 
-	mutex   sync.Mutex
-	armed   bool
-	count   int
-	workers map[string]int
+	mutex    sync.Mutex
+	counting bool
+	count    int
+	workers  map[string]int
 }
 
-func newStartWatch(after int) *startWatch {
-	return &startWatch{after: after, reached: make(chan struct{}), workers: make(map[string]int)}
+func newStartWatch(threshold int) *startWatch {
+	return &startWatch{threshold: threshold, reached: make(chan struct{}), workers: make(map[string]int)}
 }
 
-// Write takes one line: time, worker, job, task.
+// Write reads one log line: time, worker, job, task.
 func (w *startWatch) Write(line []byte) (int, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.workers[strings.Fields(string(line))[1]]++
 	w.count++
-	if w.armed && w.count == w.after {
+	if w.counting && w.count == w.threshold {
 		close(w.reached)
 	}
 	return len(line), nil
 }
 
-// busy reports whether a worker has started a task.
+// busy reports whether a worker has started a task since reset.
 func (w *startWatch) busy(worker string) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.workers[worker] > 0
 }
 
-// arm forgets what has started and begins to count.
-func (w *startWatch) arm() {
+// reset clears the counts and begins to count towards the threshold.
+func (w *startWatch) reset() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.armed, w.count = true, 0
+	w.counting, w.count = true, 0
 	clear(w.workers)
 }
--- a/local/deployer/stop_test.go
+++ b/local/deployer/stop_test.go
@@ -24,76 +24,76 @@
 )
 
 const (
-	callers       = 12
-	jobsOfCaller  = 12
-	stopBound     = 30 * time.Second
-	tasksOfOneJob = 4
+	callerCount   = 12
+	jobsPerCaller = 12
+	stopTimeout   = 30 * time.Second
+	tasksPerJob   = 4
 )
 
-// burst is many callers that submit what was not run again, at the other entry. They use a new key, since the
-// refusal of the first is held for specifier.RefusalHold.
+// burst runs many callers at once. A caller whose job is refused because the entry stops submits it again at the
+// other entry, under a new key, because the refusal of the first key stays valid for specifier.RefusalHold.
 type burst struct {
 	sender *submitter.Submitter
 	starts *emulator.StartLog
 
-	mutex   sync.Mutex
-	problem []string
-	refused []submitter.Result // answers NotRun because an entry stops
-	ended   int                // jobs
-	third   chan struct{}      // closed when a third of the jobs have ended
-	moved   sync.WaitGroup
+	mutex      sync.Mutex
+	problems   []string
+	refused    []submitter.Result // answered NotRun because the entry stops
+	endedJobs  int
+	thirdEnded chan struct{}  // closed when a third of the jobs have ended
+	moved      sync.WaitGroup // callers that have not moved to the second entry
 }
 
-func (b *burst) report(format string, args ...any) {
+func (b *burst) addProblem(format string, args ...any) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.problem = append(b.problem, fmt.Sprintf(format, args...))
+	b.problems = append(b.problems, fmt.Sprintf(format, args...))
 }
 
-func (b *burst) end() {
+func (b *burst) countEnd() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if b.ended++; b.ended == callers*jobsOfCaller/3 {
-		close(b.third)
+	if b.endedJobs++; b.endedJobs == callerCount*jobsPerCaller/3 {
+		close(b.thirdEnded)
 	}
 }
 
-// caller sends its jobs one after the other. It begins at the first entry, as if a balancer had chosen
-// that, and moves to the second when the first says that it stops.
-func (b *burst) caller(ctx context.Context, number int) {
-	at := 0
-	move := sync.OnceFunc(func() { at = 1; b.moved.Done() })
-	defer move()
-	for i := range jobsOfCaller {
+// runCaller submits the jobs of one caller one after the other, to the first entry until that refuses a job because it
+// stops, and then to the second. A load balancer would route them in the same way.
+func (b *burst) runCaller(ctx context.Context, number int) {
+	entry := 0
+	moveOn := sync.OnceFunc(func() { entry = 1; b.moved.Done() })
+	defer moveOn()
+	for i := range jobsPerCaller {
 		job := tracer.Job{Team: "web", Profile: "hold", TimeLeftMillis: 20_000}
-		for task := range tasksOfOneJob {
+		for task := range tasksPerJob {
 			job.RunMillis = append(job.RunMillis, 20+10*((number+i+task)%6))
 		}
 		key := fmt.Sprintf("caller-%d-%d", number, i)
-		job.Entry = at
+		job.Entry = entry
 		result := b.sender.Submit(ctx, job, key)
 		if result.Err == nil && result.Response.Outcome == specifier.NotRun && result.Response.Reason == specifier.Stopping {
-			b.refuse(result)
-			move()
-			job.Entry = at
+			b.addRefused(result)
+			moveOn()
+			job.Entry = entry
 			result = b.sender.Submit(ctx, job, key+"-again")
 		}
 		b.check(result)
-		b.end()
+		b.countEnd()
 	}
 }
 
-func (b *burst) refuse(result submitter.Result) {
+func (b *burst) addRefused(result submitter.Result) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.refused = append(b.refused, result)
 }
 
-// checkRefused checks, after everything has ended, that nothing of a refused job has run.
+// checkRefused checks that no task of a refused job has started. All processes have ended by then.
 func (b *burst) checkRefused() {
 	for _, result := range b.refused {
-		if started := b.started(result.Key, result.Job); started > 0 {
-			b.report("%s was refused, but %d tasks have started", result.Key, started)
+		if started := b.startCount(result.Key, result.Job); started > 0 {
+			b.addProblem("%s was refused, but %d tasks have started", result.Key, started)
 		}
 	}
 }
@@ -101,15 +101,15 @@
 func (b *burst) check(result submitter.Result) {
 	switch {
 	case result.Err != nil:
-		b.report("%s: no answer: %v", result.Key, result.Err)
+		b.addProblem("%s: no answer: %v", result.Key, result.Err)
 	case result.Response.Outcome != specifier.Complete:
-		b.report("%s: %s %s: %s", result.Key, result.Response.Outcome, result.Response.Reason, result.Response.Detail)
-	case len(result.Response.Results) != tasksOfOneJob || b.started(result.Key, result.Job) != tasksOfOneJob:
-		b.report("%s: %d results, %d starts", result.Key, len(result.Response.Results), b.started(result.Key, result.Job))
+		b.addProblem("%s: %s %s: %s", result.Key, result.Response.Outcome, result.Response.Reason, result.Response.Detail)
+	case len(result.Response.Results) != tasksPerJob || b.startCount(result.Key, result.Job) != tasksPerJob:
+		b.addProblem("%s: %d results, %d starts", result.Key, len(result.Response.Results), b.startCount(result.Key, result.Job))
 	}
 }
 
-func (b *burst) started(key string, job tracer.Job) int {
+func (b *burst) startCount(key string, job tracer.Job) int {
 	started := 0
 	for i := range job.RunMillis {
 		started += b.starts.Of(specifier.NewJobID(job.Team, key).String(), fmt.Sprintf("t%03d", i))
@@ -132,46 +132,46 @@
 	return site
 }
 
-// Guards against a planned stop that cuts off a request or a task, refuses a job that ran, or leaves a
-// goroutine behind.
+// Guards against a graceful shutdown of an agent and an entry that aborts a request or a task, refuses a job that ran, or
+// leaks a goroutine.
 func TestPlannedStopCutsNothingOff(t *testing.T) {
 	leaks := goleak.IgnoreCurrent()
 	starts := &emulator.StartLog{}
 	site := startSite(t, starts)
-	// Without kept connections, so that a closed listener is told apart from an answer that is cut off.
+	// Without keep-alive, a request to a closed listener is refused and can't be mistaken for a truncated answer.
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	b := &burst{sender: &submitter.Submitter{Client: client, Entries: []netip.AddrPort{site.Layout.Entry(0), site.Layout.Entry(1)}},
-		starts: starts, third: make(chan struct{})}
+		starts: starts, thirdEnded: make(chan struct{})}
 	for entry := range site.Entries {
 		awaitService(t, site, b.sender, entry)
 	}
-	b.moved.Add(callers)
-	ctx, cancel := context.WithTimeout(t.Context(), 2*stopBound)
+	b.moved.Add(callerCount)
+	ctx, cancel := context.WithTimeout(t.Context(), 2*stopTimeout)
 	defer cancel()
 	var group errgroup.Group
-	for number := range callers {
-		group.Go(func() error { b.caller(ctx, number); return nil })
+	for number := range callerCount {
+		group.Go(func() error { b.runCaller(ctx, number); return nil })
 	}
-	<-b.third
+	<-b.thirdEnded
 	must.NoError(t, site.StopAgent(ctx, 0))
 	stopEntry(ctx, t, site.entries[0], b)
 	must.NoError(t, group.Wait())
-	mustMeasure(t, site.entries[1].role.(*entryrunner.Entry).Metrics, callers*jobsOfCaller)
+	mustCountMetrics(t, site.entries[1].role.(*entryrunner.Entry).Metrics, callerCount*jobsPerCaller)
 	events, dropped := site.Events()
 	must.NoError(t, site.Stop())
 	http.DefaultClient.CloseIdleConnections()
 
 	b.checkRefused()
-	must.SliceEmpty(t, b.problem)
-	must.Positive(t, len(b.refused), must.Sprint("the entry stopped after the burst"))
+	must.SliceEmpty(t, b.problems)
+	must.Positive(t, len(b.refused), must.Sprint("the entry refused no job, so it stopped too late"))
 	must.Zero(t, dropped)
 	must.SliceEmpty(t, verifier.Check(events, verifier.Facts{}))
 	goleak.VerifyNone(t, leaks)
 }
 
-// mustMeasure checks that no task is counted as waiting after a burst, and that answers are counted as often
-// as they are Complete. The other entry has answered the rest, so most is a bound.
-func mustMeasure(t *testing.T, metrics *exporter.Entry, most float64) {
+// mustCountMetrics checks the metrics of one entry after the burst: no task is queued, and the answers, ratios and
+// assignments agree. maxAnswers is only an upper bound, since the other entry has answered some of the jobs.
+func mustCountMetrics(t *testing.T, metrics *exporter.Entry, maxAnswers float64) {
 	t.Helper()
 	families, err := metrics.Registry().Gather()
 	must.NoError(t, err)
@@ -183,13 +183,13 @@
 	}
 	answers := sums["oleandertally_entry_in_time_total"]
 	must.Zero(t, sums["oleandertally_entry_queue_tasks"])
-	must.Between(t, 1, answers, most+1)
+	must.Between(t, 1, answers, maxAnswers+1)
 	must.Eq(t, answers, sums["oleandertally_entry_response_over_ideal_ratio"])
-	// One job of awaitService with one task.
-	must.Eq(t, (answers-1)*tasksOfOneJob+1, sums["oleandertally_entry_assignments_total"]-sums["oleandertally_entry_retries_total"])
+	// The job of awaitService has one task.
+	must.Eq(t, (answers-1)*tasksPerJob+1, sums["oleandertally_entry_assignments_total"]-sums["oleandertally_entry_retries_total"])
 }
 
-// stopEntry closes the entry's listeners once every caller has seen that it stops, as a balancer would.
+// stopEntry closes the entry's listeners only after every caller has moved away, as behind a load balancer.
 func stopEntry(ctx context.Context, t *testing.T, entry *process, b *burst) {
 	t.Helper()
 	for i, step := range entry.role.Steps() {
@@ -201,7 +201,7 @@
 	entry.kill()
 }
 
-// awaitService returns when the entry has the configuration and the workers.
+// awaitService submits jobs until the entry completes one, which needs the configuration and a worker.
 func awaitService(t *testing.T, site *Site, sender *submitter.Submitter, entry int) {
 	t.Helper()
 	attempt := 0
@@ -210,6 +210,6 @@
 		job := tracer.Job{Entry: entry, Team: "web", Profile: "hold", TimeLeftMillis: 2000, RunMillis: []int{1}}
 		return sender.Submit(t.Context(), job, fmt.Sprintf("warm-%d-%d", entry, attempt)).Response.Outcome == specifier.Complete
 	}
-	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(complete), wait.Timeout(stopBound), wait.Gap(20*time.Millisecond)),
-		must.Func(func() string { return story(site) }))
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(complete), wait.Timeout(stopTimeout), wait.Gap(20*time.Millisecond)),
+		must.Func(func() string { return timeline(site) }))
 }
