--- a/local/measure_test.go
+++ b/local/measure_test.go
@@ -11,23 +11,23 @@
 	"oleandertally/replay/tracer"
 )
 
-// Guards against figures of another demand than the one that they are printed for.
+// Guards against a trace whose offered work differs from the demand that its figures are printed for.
 func TestTraceHasItsDemand(t *testing.T) {
 	c := measureCommand{seed: 3, entries: 2, length: 20 * time.Second}
 	for _, demand := range demands {
 		jobs := c.trace(demand).Jobs
 		var work time.Duration
 		for _, job := range jobs {
-			must.LessEq(t, longestRun, job.Longest())
+			must.LessEq(t, maxRunTime, job.Longest())
 			work += job.Work()
 		}
-		// The last job arrives before the end, by a gap that is small against the run.
+		// The last job arrives shortly before the end of the trace, so the result is not exact.
 		offered := work.Seconds() / (jobs[len(jobs)-1].At().Seconds() * tracer.Slots)
 		must.InDelta(t, demand, offered, 0.05*demand)
 	}
 }
 
-// Guards against waits that are measured between the clocks of two processes, or from another run.
+// Guards against waits computed from events of two processes, whose clocks differ, or of two tasks.
 func TestWaits(t *testing.T) {
 	job := specifier.NewJobID("web", "a")
 	nine := time.Date(2026, 5, 4, 9, 0, 0, 0, time.UTC)
--- a/local/measurement.go
+++ b/local/measurement.go
@@ -18,22 +18,23 @@
 )
 
 const (
-	agentLink = encoder.Worker_Link_FullMethodName
-	proposals = encoder.Registry_Propose_FullMethodName
-	awaits    = encoder.Peer_Await_FullMethodName
-	// shortRun is the longest task of a job of short tasks.
-	shortRun = time.Second
-	// narrowTasks and wideTasks are those of the replay's tables: a narrow job is what they call short.
-	narrowTasks = 8
-	wideTasks   = 60
+	agentMethod   = encoder.Worker_Link_FullMethodName
+	proposeMethod = encoder.Registry_Propose_FullMethodName
+	awaitMethod   = encoder.Peer_Await_FullMethodName
+	// maxShortRun is the longest run time in a job of short tasks.
+	maxShortRun = time.Second
+	// The tables of replay use the same limits: narrow jobs are called short there, and wide jobs have more than
+	// wideTasks tasks.
+	maxNarrowTasks = 8
+	wideTasks      = 60
 )
 
-// measurement is what one demand gave.
+// measurement is the result of one demand.
 type measurement struct {
 	demand  string
 	results []submitter.Result
-	took    time.Duration
-	used    time.Duration // processor time of all roles, callers and upstreams
+	elapsed time.Duration
+	cpuTime time.Duration // of all roles, callers and upstreams
 	flows   map[counter.Flow]counter.Tally
 	waits   waits
 	report  *report
@@ -41,17 +42,17 @@
 
 func isAny(tracer.Job) bool { return true }
 
-func isShort(job tracer.Job) bool { return job.Longest() <= shortRun }
+func isShort(job tracer.Job) bool { return job.Longest() <= maxShortRun }
 
-func isNarrow(job tracer.Job) bool { return len(job.RunMillis) <= narrowTasks }
+func isNarrow(job tracer.Job) bool { return len(job.RunMillis) <= maxNarrowTasks }
 
 func isWide(job tracer.Job) bool { return len(job.RunMillis) > wideTasks }
 
-// quantiles returns the median, p99 and worst of response over ideal of the complete jobs that keep selects.
-func (m measurement) quantiles(keep func(tracer.Job) bool) (p50, p99, worst float64) {
+// quantiles returns the median, p99 and maximum ratio of response time to ideal over the selected jobs that are complete.
+func (m measurement) quantiles(selects func(tracer.Job) bool) (p50, p99, worst float64) {
 	var ratios []float64
 	for _, result := range m.results {
-		if result.Err == nil && result.Response.Outcome == specifier.Complete && keep(result.Job) {
+		if result.Err == nil && result.Response.Outcome == specifier.Complete && selects(result.Job) {
 			ratios = append(ratios, m.report.ratio(result))
 		}
 	}
@@ -78,16 +79,16 @@
 	return strings.Join(parts, ", ")
 }
 
-// least is one assignment and one result for each task, and one request, proposal, decision and answer
-// for each job.
-func (m measurement) least() int { return 2*m.tasks() + 4*len(m.results) }
+// minMessages returns the minimum number of messages: an assignment and a result for each task, and a request,
+// proposal, decision and answer for each job.
+func (m measurement) minMessages() int { return 2*m.tasks() + 4*len(m.results) }
 
-// messages returns the messages of the path of a job, with the request and the answer of each caller.
+// messages returns the total of the messages that jobs need, including the requests and answers of the callers.
 func (m measurement) messages() counter.Tally {
 	callers := 2 * len(m.results)
 	sum := counter.Tally{Messages: callers, Items: callers}
 	for flow, tally := range m.flows {
-		if flow.Method == agentLink || flow.Method == proposals || flow.Method == awaits {
+		if flow.Method == agentMethod || flow.Method == proposeMethod || flow.Method == awaitMethod {
 			sum = sum.Add(tally)
 		}
 	}
--- a/local/replaycommand.go
+++ b/local/replaycommand.go
@@ -19,13 +19,13 @@
 	"oleandertally/replay/tracer"
 )
 
-// stopBound is how long a stop waits for jobs in flight.
-const stopBound = 30 * time.Second
+// stopTimeout is the longest time that a shutdown waits for jobs in flight.
+const stopTimeout = 30 * time.Second
 
-// roundTrip is from a caller to an entry and back; on loopback it is all but nothing.
+// roundTrip is the assumed network delay from a caller to an entry and back, which is negligible on loopback.
 const roundTrip = time.Millisecond
 
-// replayCommand is the local program.
+// replayCommand replays a job file on a local site, or with serve keeps the site running for callers.
 type replayCommand struct {
 	jobs    string
 	starts  string
@@ -34,7 +34,7 @@
 	out     io.Writer
 }
 
-// run returns the exit code: 0 when every promise held, 1 when one was broken.
+// run returns the exit code: 0 if every guarantee held, 1 if one was violated.
 func (c *replayCommand) run(ctx context.Context) (int, error) {
 	trace, err := readTrace(c.jobs)
 	if err != nil {
@@ -67,7 +67,7 @@
 		defer claim.Release()
 		site.Layout = claim.Layout
 	}
-	// A signal stops the site in order, so it must not end the roles.
+	// A signal must not cancel the roles' context, because the site is then shut down gracefully.
 	if err := site.Start(context.WithoutCancel(ctx)); err != nil {
 		return 0, errors.CombineErrors(err, site.Stop())
 	}
@@ -77,7 +77,7 @@
 		fmt.Fprintln(c.out, "stopping: jobs in flight are answered first; Ctrl-C again cuts them off")
 		return 0, c.stop(site)
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	sender := &submitter.Submitter{Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}, Prefix: trace.Name}
 	for i := range site.Entries {
 		sender.Entries = append(sender.Entries, site.Layout.Entry(i))
@@ -86,21 +86,21 @@
 	if err != nil {
 		return 0, errors.CombineErrors(err, site.Stop())
 	}
-	took := time.Since(began)
+	elapsed := time.Since(startedAt)
 	if err := site.Stop(); err != nil {
 		return 0, err
 	}
-	report := newReport(trace, results, site, starts, took)
+	report := newReport(trace, results, site, starts, elapsed)
 	report.print(c.out)
-	if len(report.broken) > 0 {
+	if len(report.violations) > 0 {
 		return 1, nil
 	}
 	return 0, nil
 }
 
-// stop ends a site without cutting off what is in flight.
+// stop drains a site and then stops it, so that jobs in flight are answered.
 func (c *replayCommand) stop(site *deployer.Site) error {
-	ctx, cancel := context.WithTimeout(context.Background(), stopBound)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	return errors.CombineErrors(site.Drain(ctx), site.Stop())
 }
@@ -115,7 +115,7 @@
 	return trace, errors.Wrapf(err, "%s", path)
 }
 
-// site has the zones, racks and slots of Alisio today, on the fixed addresses of -serve.
+// site returns a site with Alisio's present zones, racks and slots, on the fixed addresses of -serve.
 func (c *replayCommand) site(starts *emulator.StartLog) *deployer.Site {
 	base := netip.AddrFrom4([4]byte{127, 1, 0, 0})
 	log := zerolog.Nop()
--- a/local/report.go
+++ b/local/report.go
@@ -17,23 +17,23 @@
 	"oleandertally/replay/tracer"
 )
 
-// slowest is how many jobs are listed.
-const slowest = 5
+// maxSlowest is the number of slow jobs that are listed.
+const maxSlowest = 5
 
-// report is the account of one replay.
+// report summarizes one replay.
 type report struct {
-	trace    tracer.Trace
-	results  []submitter.Result
-	took     time.Duration
-	slots    int
-	outcomes map[string]int
-	ratios   []float64 // response over ideal of complete jobs, ascending
-	byWorker map[string]int
-	broken   []string
+	trace      tracer.Trace
+	results    []submitter.Result
+	elapsed    time.Duration
+	slots      int
+	outcomes   map[string]int
+	ratios     []float64 // response time over ideal of the complete jobs, ascending
+	byWorker   map[string]int
+	violations []string
 }
 
-func newReport(trace tracer.Trace, results []submitter.Result, site *deployer.Site, starts *emulator.StartLog, took time.Duration) *report {
-	r := &report{trace: trace, results: results, took: took, slots: site.Slots(), outcomes: make(map[string]int), byWorker: make(map[string]int)}
+func newReport(trace tracer.Trace, results []submitter.Result, site *deployer.Site, starts *emulator.StartLog, elapsed time.Duration) *report {
+	r := &report{trace: trace, results: results, elapsed: elapsed, slots: site.Slots(), outcomes: make(map[string]int), byWorker: make(map[string]int)}
 	events, dropped := site.Events()
 	for _, result := range results {
 		r.count(result)
@@ -51,7 +51,7 @@
 func (r *report) count(result submitter.Result) {
 	if result.Err != nil {
 		r.outcomes["no answer"]++
-		r.broken = append(r.broken, fmt.Sprintf("%s got no answer: %v", result.Key, result.Err))
+		r.violations = append(r.violations, fmt.Sprintf("%s got no answer: %v", result.Key, result.Err))
 		return
 	}
 	name := string(result.Response.Outcome)
@@ -63,10 +63,10 @@
 		return
 	}
 	if len(result.Response.Results) != len(result.Job.RunMillis) {
-		r.broken = append(r.broken, fmt.Sprintf("%s got %d of %d results", result.Key, len(result.Response.Results), len(result.Job.RunMillis)))
+		r.violations = append(r.violations, fmt.Sprintf("%s got %d of %d results", result.Key, len(result.Response.Results), len(result.Job.RunMillis)))
 	}
 	if result.Took > result.Job.TimeLeft() {
-		r.broken = append(r.broken, fmt.Sprintf("%s was answered after its deadline", result.Key))
+		r.violations = append(r.violations, fmt.Sprintf("%s was answered after its deadline", result.Key))
 	}
 	r.ratios = append(r.ratios, r.ratio(result))
 }
@@ -75,28 +75,28 @@
 	return float64(result.Took) / float64(result.Job.Ideal(r.slots, roundTrip))
 }
 
-// check compares the upstreams' own log and the recorded events with the promises.
+// check verifies the guarantees against the upstreams' log of starts and the recorded events.
 func (r *report) check(events []recorder.Event, dropped int, starts *emulator.StartLog) {
 	if dropped > 0 {
-		r.broken = append(r.broken, fmt.Sprintf("%d events were dropped, so the promises could not be checked", dropped))
+		r.violations = append(r.violations, fmt.Sprintf("%d events were dropped, so the promises could not be checked", dropped))
 	}
 	if _, repeated := starts.Count(); repeated > 0 {
-		r.broken = append(r.broken, fmt.Sprintf("%d tasks started more than once", repeated))
+		r.violations = append(r.violations, fmt.Sprintf("%d tasks started more than once", repeated))
 	}
 	for _, result := range r.results {
 		job := specifier.NewJobID(result.Job.Team, result.Key).String()
 		for i := range result.Job.RunMillis {
 			count := starts.Of(job, fmt.Sprintf("t%03d", i))
 			if result.Err == nil && result.Response.Outcome == specifier.NotRun && count > 0 {
-				r.broken = append(r.broken, fmt.Sprintf("%s was answered NotRun, but a task started", result.Key))
+				r.violations = append(r.violations, fmt.Sprintf("%s was answered NotRun, but a task started", result.Key))
 			}
 			if result.Err == nil && result.Response.Outcome == specifier.Complete && count != 1 {
-				r.broken = append(r.broken, fmt.Sprintf("%s is complete, but task %d started %d times", result.Key, i, count))
+				r.violations = append(r.violations, fmt.Sprintf("%s is complete, but task %d started %d times", result.Key, i, count))
 			}
 		}
 	}
 	for _, violation := range verifier.Check(events, verifier.Facts{}) {
-		r.broken = append(r.broken, violation.String())
+		r.violations = append(r.violations, violation.String())
 	}
 }
 
@@ -105,7 +105,7 @@
 	for _, job := range r.trace.Jobs {
 		tasks += len(job.RunMillis)
 	}
-	fmt.Fprintf(out, "%s: %d jobs, %d tasks on %d slots in %v\n\n", r.trace.Name, len(r.trace.Jobs), tasks, r.slots, r.took.Round(time.Millisecond))
+	fmt.Fprintf(out, "%s: %d jobs, %d tasks on %d slots in %v\n\n", r.trace.Name, len(r.trace.Jobs), tasks, r.slots, r.elapsed.Round(time.Millisecond))
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for _, name := range sortedKeys(r.outcomes) {
 		fmt.Fprintf(table, "%s\t%d\n", name, r.outcomes[name])
@@ -119,12 +119,12 @@
 		fmt.Fprintf(out, "  %-12s %4d %s\n", name, r.byWorker[name], strings.Repeat("#", r.byWorker[name]*40/max(tasks, 1)+1))
 	}
 	r.printSlowest(out)
-	if len(r.broken) == 0 {
+	if len(r.violations) == 0 {
 		fmt.Fprintln(out, "\nevery promise held")
 		return
 	}
-	fmt.Fprintf(out, "\n%d promises broken:\n", len(r.broken))
-	for _, line := range r.broken {
+	fmt.Fprintf(out, "\n%d promises broken:\n", len(r.violations))
+	for _, line := range r.violations {
 		fmt.Fprintln(out, "  "+line)
 	}
 }
@@ -142,7 +142,7 @@
 	fmt.Fprintln(out, "\nfurthest from the ideal")
 	table := tabwriter.NewWriter(out, 2, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "  job\ttasks\ttook\tideal\tratio")
-	for _, result := range complete[:min(slowest, len(complete))] {
+	for _, result := range complete[:min(maxSlowest, len(complete))] {
 		fmt.Fprintf(table, "  %s\t%d\t%v\t%v\t%.3f\n", result.Key, len(result.Job.RunMillis), result.Took.Round(time.Millisecond),
 			result.Job.Ideal(r.slots, roundTrip).Round(time.Millisecond), r.ratio(result))
 	}
--- a/local/usage.go
+++ b/local/usage.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// processorTime returns the processor time that this process has used.
-func processorTime() time.Duration {
+// cpuTime returns the CPU time that this process has used.
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
--- a/local/waits.go
+++ b/local/waits.go
@@ -9,13 +9,13 @@
 	"oleandertally/core/specifier"
 )
 
-// waits is how long tasks waited before they started, each measured on one process's clock.
+// waits holds the times that tasks waited before they started, each measured on the clock of one process.
 type waits struct {
-	entry spread // from acceptance to the assignment
+	entry spread // from acceptance of the job to the assignment
 	agent spread // in the agent's queue
 }
 
-// spread holds durations in ascending order.
+// spread holds durations in ascending order, for their quantiles.
 type spread []time.Duration
 
 // String returns the median and p99.
@@ -35,19 +35,19 @@
 		key     specifier.TaskKey
 	}
 	var w waits
-	since := make(map[run]time.Time)
+	waitingSince := make(map[run]time.Time)
 	for _, event := range events {
 		job := run{process: event.Process, key: specifier.TaskKey{Job: event.Job}}
 		task := run{process: event.Process, key: specifier.TaskKey{Job: event.Job, Task: event.Task}}
 		switch event.Kind {
 		case recorder.JobAccepted:
-			since[job] = event.At
+			waitingSince[job] = event.At
 		case recorder.TaskAssigned:
-			w.entry = append(w.entry, event.At.Sub(since[job]))
+			w.entry = append(w.entry, event.At.Sub(waitingSince[job]))
 		case recorder.TaskQueued:
-			since[task] = event.At
+			waitingSince[task] = event.At
 		case recorder.TaskStarted:
-			w.agent = append(w.agent, event.At.Sub(since[task]))
+			w.agent = append(w.agent, event.At.Sub(waitingSince[task]))
 		}
 	}
 	slices.Sort(w.entry)
