--- a/replay/play.go
+++ b/replay/play.go
@@ -130,9 +130,9 @@
 
 // bound returns the row of one queue that knows every run time.
 func bound(trace tracer.Trace) reporter.Summary {
-	row := reporter.Summarize("one queue, run times known", trace, player.Bound(trace))
+	row := reporter.Summarize("one queue, run times known", trace, player.PlaySingleQueue(trace))
 	if without := trace.Without(reporter.Batch); len(without.Jobs) < len(trace.Jobs) {
-		row.Blocking = row.ShortHigh / reporter.Summarize("", without, player.Bound(without)).ShortHigh
+		row.Blocking = row.ShortHigh / reporter.Summarize("", without, player.PlaySingleQueue(without)).ShortHigh
 	}
 	return row
 }
--- a/replay/player/bound.go
+++ b/replay/player/bound.go
@@ -10,7 +10,7 @@
 // Bound plays a trace on one queue that knows every run time and needs no messages: jobs in the order of
 // arrival + 100 ms for each task, the longest task of a job first, admitted while the work that waits fits
 // in a quarter of the job's time left. The ratio of a single job is bounded by its ideal, 1.
-func Bound(trace tracer.Trace) *Report {
+func PlaySingleQueue(trace tracer.Trace) *Report {
 	report := &Report{Records: make([]Record, len(trace.Jobs))}
 	b := &bound{trace: trace, report: report, time: newTimeline(), free: tracer.Slots, left: make([]int, len(trace.Jobs))}
 	b.heap.Less = lessKnown
