--- a/replay/player/bound.go
+++ b/replay/player/bound.go
@@ -20,7 +20,7 @@
 		b.time.at(epoch.Add(job.At()+callerDelay), func() { b.arrive(i) })
 	}
 	b.time.play()
-	report.Useful = useful(report.Records)
+	report.UsefulSlotTime = useful(report.Records)
 	return report
 }
 
--- a/replay/player/entry.go
+++ b/replay/player/entry.go
@@ -79,8 +79,8 @@
 	j := e.player.jobs[key.Job]
 	j.holders[from]--
 	if !ok && !j.trace.Poison {
-		e.player.report.Lost[e.index]++
-		j.record.Lost++
+		e.player.report.LostTasks[e.index]++
+		j.record.LostTasks++
 	}
 	if !j.ended {
 		if j.remaining--; !ok {
--- a/replay/player/player.go
+++ b/replay/player/player.go
@@ -40,7 +40,7 @@
 func Play(trace tracer.Trace, variant Variant) *Report {
 	p := &Player{trace: trace, variant: variant, time: newTimeline(), agents: make(map[specifier.Identity]*agent),
 		jobs: make(map[specifier.JobID]*job), report: &Report{Records: make([]Record, len(trace.Jobs)),
-			Lost: make(map[int]int), Ejected: make(map[string]int), TeamRan: make(map[string]time.Duration)}}
+			LostTasks: make(map[int]int), Ejected: make(map[string]int), TeamSlotTime: make(map[string]time.Duration)}}
 	p.addMembers()
 	for i, each := range trace.Jobs {
 		p.addJob(i, each)
@@ -49,7 +49,7 @@
 		p.time.at(epoch.Add(fault.At()), func() { p.inject(fault) })
 	}
 	p.time.play()
-	p.report.Useful = useful(p.report.Records)
+	p.report.UsefulSlotTime = useful(p.report.Records)
 	return p.report
 }
 
@@ -127,8 +127,8 @@
 func (p *Player) ran(key specifier.TaskKey, run time.Duration) {
 	j := p.jobs[key.Job]
 	in := inWindow(p.trace, p.time.now, run)
-	p.report.Ran += run
-	p.report.TeamRan[j.trace.Team] += in
+	p.report.SlotTime += run
+	p.report.TeamSlotTime[j.trace.Team] += in
 	j.record.ran += in
 }
 
--- a/replay/reporter/summary.go
+++ b/replay/reporter/summary.go
@@ -61,7 +61,7 @@
 	s.AllMedian, s.AllHigh = quantile(all, 0.5), quantile(all, 0.99)
 	s.ShortMedian, s.ShortHigh = quantile(short, 0.5), quantile(short, 0.99)
 	s.Goodput = goodput(trace, report)
-	for _, lost := range report.Lost {
+	for _, lost := range report.LostTasks {
 		s.Lost = max(s.Lost, lost)
 	}
 	s.Right, s.Wrong = ejections(trace, report)
@@ -76,8 +76,8 @@
 func teamShares(trace tracer.Trace, report *player.Report) string {
 	capacity := (trace.Length() - trace.Length()/6) * tracer.Slots
 	var parts []string
-	for _, name := range slices.Sorted(maps.Keys(report.TeamRan)) {
-		parts = append(parts, fmt.Sprintf("%s %.0f%%", name, 100*float64(report.TeamRan[name])/float64(capacity)))
+	for _, name := range slices.Sorted(maps.Keys(report.TeamSlotTime)) {
+		parts = append(parts, fmt.Sprintf("%s %.0f%%", name, 100*float64(report.TeamSlotTime[name])/float64(capacity)))
 	}
 	return strings.Join(parts, ", ")
 }
@@ -90,7 +90,7 @@
 func goodput(trace tracer.Trace, report *player.Report) float64 {
 	start := trace.Length() / 6
 	if trace.Demand >= 1 {
-		return float64(report.Useful) / float64((trace.Length()-start)*tracer.Slots)
+		return float64(report.UsefulSlotTime) / float64((trace.Length()-start)*tracer.Slots)
 	}
 	var offered, answered time.Duration
 	for _, record := range report.Records {
