--- a/replay/outcome_test.go
+++ b/replay/outcome_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestShortJobsAtHighLoad(t *testing.T) { must.LessEq(t, 2.5, outcome(t, "steady-95").ShortHigh) }
+func TestShortJobsAtHighLoad(t *testing.T) { must.LessEq(t, 2.5, outcome(t, "steady-95").ShortP99) }
 
 func TestGoodputPastCapacity(t *testing.T) {
 	for _, name := range []string{"demand-150", "demand-200", "demand-400"} {
@@ -51,15 +51,15 @@
 	for _, name := range []string{"black-hole", "two-faults", "straggler", "poison", "zone-lost", "steady-95"} {
 		t.Run(name, func(t *testing.T) {
 			got := outcome(t, name)
-			must.LessEq(t, 5, got.Lost)
-			must.Eq(t, 0, got.Wrong)
+			must.LessEq(t, 5, got.MaxLostTasks)
+			must.Eq(t, 0, got.WrongEjections)
 		})
 	}
 }
 
 func TestMessages(t *testing.T) {
 	for _, name := range []string{"steady-30", "steady-80", "steady-95", "demand-400"} {
-		t.Run(name, func(t *testing.T) { must.LessEq(t, 1.2*2, outcome(t, name).Messages) })
+		t.Run(name, func(t *testing.T) { must.LessEq(t, 1.2*2, outcome(t, name).MessagesPerTask) })
 	}
 }
 
--- a/replay/play.go
+++ b/replay/play.go
@@ -118,7 +118,7 @@
 		}
 		row := reporter.Summarize(variant.Name, trace, player.Play(trace, variant))
 		if without := trace.Without(reporter.Batch); len(without.Jobs) < len(trace.Jobs) {
-			row.Blocking = row.ShortHigh / reporter.Summarize("", without, player.Play(without, variant)).ShortHigh
+			row.Blocking = row.ShortP99 / reporter.Summarize("", without, player.Play(without, variant)).ShortP99
 		}
 		rows = append(rows, row)
 	}
@@ -132,7 +132,7 @@
 func bound(trace tracer.Trace) reporter.Summary {
 	row := reporter.Summarize("one queue, run times known", trace, player.PlaySingleQueue(trace))
 	if without := trace.Without(reporter.Batch); len(without.Jobs) < len(trace.Jobs) {
-		row.Blocking = row.ShortHigh / reporter.Summarize("", without, player.PlaySingleQueue(without)).ShortHigh
+		row.Blocking = row.ShortP99 / reporter.Summarize("", without, player.PlaySingleQueue(without)).ShortP99
 	}
 	return row
 }
--- a/replay/reporter/summary.go
+++ b/replay/reporter/summary.go
@@ -14,18 +14,18 @@
 
 // Summary is one row of a table. Ratios are response over ideal of the completed jobs.
 type Summary struct {
-	Variant            string
-	AllMedian, AllHigh float64 // p50 and p99 of all jobs
-	ShortMedian        float64
-	ShortHigh          float64 // p99 of jobs of 1 to 8 tasks
-	WorstWide          float64 // of jobs of more than 60 tasks
-	Goodput            float64 // work answered in time over the lesser of demand and capacity
-	Blocking           float64 // ShortHigh over that without the long jobs; 0: not measured
-	Lost               int     // most tasks lost to sick workers by one entry
-	Right, Wrong       int     // ejections of sick and of healthy workers
-	Messages           float64 // for each task
-	Refused, Failed    int     // jobs; Failed includes those that timed out
-	Teams              string  // share of the slots that each team used
+	Variant                          string
+	AllMedian, AllP99                float64 // p50 and p99 of all jobs
+	ShortMedian                      float64
+	ShortP99                         float64 // p99 of jobs of 1 to 8 tasks
+	WorstWide                        float64 // of jobs of more than 60 tasks
+	Goodput                          float64 // work answered in time over the lesser of demand and capacity
+	Blocking                         float64 // ShortHigh over that without the long jobs; 0: not measured
+	MaxLostTasks                     int     // most tasks lost to sick workers by one entry
+	CorrectEjections, WrongEjections int     // ejections of sick and of healthy workers
+	MessagesPerTask                  float64 // for each task
+	Refused, Failed                  int     // jobs; Failed includes those that timed out
+	Teams                            string  // share of the slots that each team used
 }
 
 const (
@@ -58,15 +58,15 @@
 			s.WorstWide = max(s.WorstWide, ratio)
 		}
 	}
-	s.AllMedian, s.AllHigh = quantile(all, 0.5), quantile(all, 0.99)
-	s.ShortMedian, s.ShortHigh = quantile(short, 0.5), quantile(short, 0.99)
+	s.AllMedian, s.AllP99 = quantile(all, 0.5), quantile(all, 0.99)
+	s.ShortMedian, s.ShortP99 = quantile(short, 0.5), quantile(short, 0.99)
 	s.Goodput = goodput(trace, report)
 	for _, lost := range report.LostTasks {
-		s.Lost = max(s.Lost, lost)
+		s.MaxLostTasks = max(s.MaxLostTasks, lost)
 	}
-	s.Right, s.Wrong = ejections(trace, report)
+	s.CorrectEjections, s.WrongEjections = ejections(trace, report)
 	if report.Tasks > 0 {
-		s.Messages = float64(report.Messages) / float64(report.Tasks)
+		s.MessagesPerTask = float64(report.Messages) / float64(report.Tasks)
 	}
 	s.Teams = teamShares(trace, report)
 	return s
--- a/replay/reporter/table.go
+++ b/replay/reporter/table.go
@@ -17,8 +17,8 @@
 	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "variant\tall p50\tall p99\tshort p50\tshort p99\tworst wide\tgoodput\tblocking\tlost\teject right\twrong\tmsg/task\trefused\tfailed\t")
 	for _, r := range rows {
-		fmt.Fprintf(table, "%s\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.1f%%\t%s\t%d\t%d\t%d\t%.2f\t%d\t%d\t\n", r.Variant, r.AllMedian, r.AllHigh,
-			r.ShortMedian, r.ShortHigh, r.WorstWide, 100*r.Goodput, optional(r.Blocking), r.Lost, r.Right, r.Wrong, r.Messages, r.Refused, r.Failed)
+		fmt.Fprintf(table, "%s\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.1f%%\t%s\t%d\t%d\t%d\t%.2f\t%d\t%d\t\n", r.Variant, r.AllMedian, r.AllP99,
+			r.ShortMedian, r.ShortP99, r.WorstWide, 100*r.Goodput, optional(r.Blocking), r.MaxLostTasks, r.CorrectEjections, r.WrongEjections, r.MessagesPerTask, r.Refused, r.Failed)
 	}
 	if err := table.Flush(); err != nil {
 		return errors.Wrap(err, "write table")
