--- a/replay/main.go
+++ b/replay/main.go
@@ -1,5 +1,5 @@
-// Replay plays recorded or generated traces through the dispatch decisions on a held clock and prints, for
-// each trace, how the variants of the policies compare.
+// Replay plays recorded or generated traces with the dispatch policies on a simulated clock and prints, for each trace, a
+// table that compares the variants of the policies.
 package main
 
 import (
--- a/replay/outcome_test.go
+++ b/replay/outcome_test.go
@@ -14,43 +14,43 @@
 	"oleandertally/replay/tracer"
 )
 
-// outcome plays generated traces of two minutes with the chosen policies.
-func outcome(t *testing.T, name string) reporter.Summary {
+// summaryOf plays a generated trace of two minutes with the chosen variant and returns its summary.
+func summaryOf(t *testing.T, name string) reporter.Summary {
 	t.Helper()
 	for _, trace := range tracer.Catalog(7, 2*time.Minute) {
 		if trace.Name == name {
-			return reporter.Summarize("chosen", trace, player.Play(trace, chosen()))
+			return reporter.Summarize("chosen", trace, player.Play(trace, chosenVariant()))
 		}
 	}
 	t.Fatalf("no trace %s", name)
 	return reporter.Summary{}
 }
 
-func chosen() player.Variant {
+func chosenVariant() player.Variant {
 	all := variants()
 	return all[len(all)-1]
 }
 
-// The bounds of these tests are the goals of the design page. docs/policies.md lists the goals that are not reached.
+// The limits in these tests are the goals of the design page. docs/policies.md lists the goals that are not reached.
 
 func TestMedian(t *testing.T) {
 	for _, name := range []string{"steady-30", "steady-60", "steady-80"} {
-		t.Run(name, func(t *testing.T) { must.LessEq(t, 1.1, outcome(t, name).AllMedian) })
+		t.Run(name, func(t *testing.T) { must.LessEq(t, 1.1, summaryOf(t, name).AllMedian) })
 	}
 }
 
-func TestShortJobsAtHighLoad(t *testing.T) { must.LessEq(t, 2.5, outcome(t, "steady-95").ShortP99) }
+func TestShortJobsAtHighLoad(t *testing.T) { must.LessEq(t, 2.5, summaryOf(t, "steady-95").ShortP99) }
 
 func TestGoodputPastCapacity(t *testing.T) {
 	for _, name := range []string{"demand-150", "demand-200", "demand-400"} {
-		t.Run(name, func(t *testing.T) { must.GreaterEq(t, 0.97, outcome(t, name).Goodput) })
+		t.Run(name, func(t *testing.T) { must.GreaterEq(t, 0.97, summaryOf(t, name).Goodput) })
 	}
 }
 
 func TestSickWorkers(t *testing.T) {
 	for _, name := range []string{"black-hole", "two-faults", "straggler", "poison", "zone-lost", "steady-95"} {
 		t.Run(name, func(t *testing.T) {
-			got := outcome(t, name)
+			got := summaryOf(t, name)
 			must.LessEq(t, 5, got.MaxLostTasks)
 			must.Eq(t, 0, got.WrongEjections)
 		})
@@ -59,11 +59,11 @@
 
 func TestMessages(t *testing.T) {
 	for _, name := range []string{"steady-30", "steady-80", "steady-95", "demand-400"} {
-		t.Run(name, func(t *testing.T) { must.LessEq(t, 1.2*2, outcome(t, name).MessagesPerTask) })
+		t.Run(name, func(t *testing.T) { must.LessEq(t, 1.2*2, summaryOf(t, name).MessagesPerTask) })
 	}
 }
 
-// TestRecordedTraces guards against traces that no longer parse, and against a replay that differs between runs.
+// Guards against recorded traces that no longer parse, and against a replay whose result differs between runs.
 func TestRecordedTraces(t *testing.T) {
 	paths, err := filepath.Glob("../examples/traces/*.jsonl")
 	must.NoError(t, err)
@@ -72,7 +72,7 @@
 		t.Run(filepath.Base(path), func(t *testing.T) {
 			trace, err := readFile(path)
 			must.NoError(t, err)
-			must.Eq(t, *player.Play(trace, chosen()), *player.Play(trace, chosen()))
+			must.Eq(t, *player.Play(trace, chosenVariant()), *player.Play(trace, chosenVariant()))
 		})
 	}
 }
@@ -109,7 +109,7 @@
 	}
 }
 
-// TestRun guards against a command that prints nothing for the recorded traces.
+// Guards against a play command that prints no table for the recorded traces.
 func TestRun(t *testing.T) {
 	output := &bytes.Buffer{}
 	command := &playCommand{folder: "../examples/traces", traces: "^steady-30$", variants: "^chosen$"}
--- a/replay/play.go
+++ b/replay/play.go
@@ -57,11 +57,11 @@
 }
 
 func (c *playCommand) run(to io.Writer) error {
-	names, err := regexp.Compile(c.traces)
+	traceFilter, err := regexp.Compile(c.traces)
 	if err != nil {
 		return errors.Wrap(err, "-traces")
 	}
-	wanted, err := regexp.Compile(c.variants)
+	variantFilter, err := regexp.Compile(c.variants)
 	if err != nil {
 		return errors.Wrap(err, "-variants")
 	}
@@ -70,10 +70,10 @@
 		return err
 	}
 	for _, trace := range traces {
-		if !names.MatchString(trace.Name) {
+		if !traceFilter.MatchString(trace.Name) {
 			continue
 		}
-		if err := compare(to, trace, wanted); err != nil {
+		if err := compare(to, trace, variantFilter); err != nil {
 			return err
 		}
 	}
@@ -109,11 +109,11 @@
 	return trace, errors.Wrap(err, path)
 }
 
-// compare prints the table of one trace.
-func compare(to io.Writer, trace tracer.Trace, wanted *regexp.Regexp) error {
+// compare plays one trace with the selected variants and prints the table.
+func compare(to io.Writer, trace tracer.Trace, variantFilter *regexp.Regexp) error {
 	var rows []reporter.Summary
 	for _, variant := range variants() {
-		if !wanted.MatchString(variant.Name) {
+		if !variantFilter.MatchString(variant.Name) {
 			continue
 		}
 		row := reporter.Summarize(variant.Name, trace, player.Play(trace, variant))
@@ -122,14 +122,14 @@
 		}
 		rows = append(rows, row)
 	}
-	rows = append(rows, bound(trace))
+	rows = append(rows, singleQueueRow(trace))
 	title := fmt.Sprintf("%s: %d jobs in %v, demand %.2f, %d entries, seed %d", trace.Name, len(trace.Jobs),
 		trace.Length(), trace.Demand, trace.Entries, trace.Seed)
 	return reporter.Print(to, title, rows)
 }
 
-// bound returns the row of one queue that knows every run time.
-func bound(trace tracer.Trace) reporter.Summary {
+// singleQueueRow returns the row of a single queue that knows every run time, as the best case.
+func singleQueueRow(trace tracer.Trace) reporter.Summary {
 	row := reporter.Summarize("one queue, run times known", trace, player.PlaySingleQueue(trace))
 	if without := trace.Without(reporter.Batch); len(without.Jobs) < len(trace.Jobs) {
 		row.Blocking = row.ShortP99 / reporter.Summarize("", without, player.PlaySingleQueue(without)).ShortP99
--- a/replay/player/agent.go
+++ b/replay/player/agent.go
@@ -10,39 +10,39 @@
 	"oleandertally/replay/tracer"
 )
 
-// agent is a fake agent around the queue that real agents use.
+// agent is a fake agent with the task queue that real agents use.
 type agent struct {
-	player  *Player
-	member  specifier.Member
-	index   int // worker number in the trace
-	zone    int
-	queue   orderer.Queue
-	owners  map[specifier.TaskKey]*entry
-	report  orderer.Reporter[int] // by entry
-	learned classifier.Classifier
-	pushed  int
-	dead    bool
-	timer   time.Time
+	player     *Player
+	member     specifier.Member
+	index      int // number of the worker in the trace
+	zone       int
+	queue      orderer.Queue
+	owners     map[specifier.TaskKey]*entry // which entry sent each task
+	reporter   orderer.Reporter[int]        // by index of the entry
+	classifier classifier.Classifier
+	pushCount  int
+	down       bool
+	wakeAt     time.Time
 }
 
-// assign takes a task from an entry.
+// assign adds a task of an entry to the queue.
 func (a *agent) assign(from *entry, item scheduler.Item) {
-	if a.dead {
+	if a.down {
 		return
 	}
 	order := item.Order
-	a.pushed++
+	a.pushCount++
 	if a.player.variant.FIFO {
-		order.At = epoch.Add(time.Duration(a.pushed))
+		order.At = epoch.Add(time.Duration(a.pushCount))
 	}
 	task := orderer.Entry{Key: order, Deadline: item.Deadline, Profile: item.Profile, Team: item.Team,
-		Class: a.learned.Class(item.Profile, a.player.profile(item.Profile).TypicalTime)}
+		Class: a.classifier.Class(item.Profile, a.player.profile(item.Profile).TypicalTime)}
 	a.owners[item.Key] = from
 	a.queue.Push(a.player.time.now, task)
 	a.step()
 }
 
-// withdraw drops the waiting tasks of a job.
+// withdraw removes the queued tasks of a job.
 func (a *agent) withdraw(job specifier.JobID) {
 	for _, task := range a.queue.Remove(job) {
 		delete(a.owners, task.TaskKey())
@@ -50,23 +50,23 @@
 	a.step()
 }
 
-// step starts what may start and reports the load to entries that are misled.
+// step starts the tasks that may start, and reports the load to the entries whose view of it is outdated.
 func (a *agent) step() {
 	now := a.player.time.now
-	if a.dead {
+	if a.down {
 		return
 	}
 	a.startWaiting()
-	for _, i := range a.report.Due(now, a.queue.Load()) {
-		a.tell(a.player.entries[i], a.player.entries[i].dispatch)
+	for _, i := range a.reporter.Due(now, a.queue.Load()) {
+		a.send(a.player.entries[i], a.player.entries[i].dispatch)
 	}
-	if next := a.queue.Next(); !next.IsZero() && !next.Equal(a.timer) {
-		a.timer = next
+	if next := a.queue.Next(); !next.IsZero() && !next.Equal(a.wakeAt) {
+		a.wakeAt = next
 		a.player.time.at(next, a.step)
 	}
 }
 
-// startWaiting drops what is too late and starts what has a slot.
+// startWaiting refuses the queued tasks that can't meet their deadline and starts tasks on the free slots.
 func (a *agent) startWaiting() {
 	now := a.player.time.now
 	for _, late := range a.queue.Expire(now) {
@@ -80,7 +80,7 @@
 func (a *agent) refuse(key specifier.TaskKey) {
 	owner := a.owners[key]
 	delete(a.owners, key)
-	a.tell(owner, func() { owner.refused(a, key) })
+	a.send(owner, func() { owner.taskRefused(a, key) })
 }
 
 func (a *agent) start(task orderer.Entry) {
@@ -89,27 +89,27 @@
 }
 
 func (a *agent) finish(task orderer.Entry, run time.Duration, ok bool) {
-	if a.dead {
+	if a.down {
 		return
 	}
 	key := task.TaskKey()
 	a.queue.Done(a.player.time.now, key)
-	a.player.ran(key, run)
+	a.player.recordRun(key, run)
 	if ok {
-		a.learned.Record(task.Profile, run)
+		a.classifier.Record(task.Profile, run)
 	}
 	owner := a.owners[key]
 	delete(a.owners, key)
 	a.startWaiting()
-	a.tell(owner, func() { owner.done(a, key, ok, run) })
-	a.report.Ended()
+	a.send(owner, func() { owner.taskDone(a, key, ok, run) })
+	a.reporter.Ended()
 	a.step()
 }
 
-// tell sends a message with the agent's load to an entry.
-func (a *agent) tell(to *entry, deliver func()) {
+// send sends a message to an entry, together with the agent's load.
+func (a *agent) send(to *entry, deliver func()) {
 	load := a.queue.Load()
-	a.report.Told(a.player.time.now, to.index, load)
+	a.reporter.Told(a.player.time.now, to.index, load)
 	a.player.send(a.zone, to.zone, func() {
 		to.scheduler.Reported(a.player.time.now, a.member.Identity, load)
 		deliver()
@@ -120,20 +120,20 @@
 	a := &agent{player: p, index: index, zone: zone, member: member, queue: orderer.Queue{Slots: member.Slots},
 		owners: make(map[specifier.TaskKey]*entry)}
 	for i := range p.trace.Entries {
-		a.report.Add(epoch, i, a.queue.Load())
+		a.reporter.Add(epoch, i, a.queue.Load())
 	}
 	return a
 }
 
-// failTime is how long a sick worker or a poison payload takes to fail a task.
-const failTime = time.Millisecond
+// failRunTime is the run time of a task that fails on an unhealthy worker or because of a poison payload.
+const failRunTime = time.Millisecond
 
-// runTime returns how long a task takes on an agent now and whether it succeeds.
+// runTime returns the run time of a task that starts on an agent now, and whether the task succeeds.
 func (p *Player) runTime(a *agent, key specifier.TaskKey) (time.Duration, bool) {
 	job := p.jobs[key.Job]
 	run := job.trace.Run(job.index[key.Task])
 	if job.trace.Poison {
-		return failTime, false
+		return failRunTime, false
 	}
 	for _, fault := range p.trace.Faults {
 		if !fault.Covers(p.time.elapsed()) || fault.Worker != a.index {
@@ -141,7 +141,7 @@
 		}
 		switch fault.Kind {
 		case tracer.BlackHole:
-			return failTime, false
+			return failRunTime, false
 		case tracer.Straggler:
 			run = time.Duration(float64(run) * fault.Factor)
 		}
--- a/replay/player/doc.go
+++ b/replay/player/doc.go
@@ -1,3 +1,3 @@
-// Package player drives the dispatch decisions with a trace on a held clock. Entries, agents and links
-// are fakes; their delays and the run times come from the trace and from constants.
+// Package player plays a trace with the real dispatch policies on a simulated clock. Entries, agents and the network are
+// fakes; the run times come from the trace, and the delays from constants.
 package player
--- a/replay/player/entry.go
+++ b/replay/player/entry.go
@@ -8,16 +8,16 @@
 	"oleandertally/dispatch/scheduler"
 )
 
-// entry is a fake entry around the scheduler that real entries use.
+// entry is a fake entry with the scheduler that real entries use.
 type entry struct {
 	player    *Player
 	index     int
 	zone      int
 	scheduler Scheduler
-	timer     time.Time
+	wakeAt    time.Time
 }
 
-// arrive decides on admission; an admitted job is recorded before it is dispatched.
+// arrive admits or refuses a job. The tasks of an admitted job are queued once its acceptance is recorded.
 func (e *entry) arrive(j *job) {
 	if j.ended {
 		return
@@ -28,26 +28,26 @@
 		e.refuseJob(j, refusal)
 		return
 	}
-	e.player.time.after(acceptDelay, func() { e.accepted(j) })
-	e.player.time.at(j.spec.Deadline, func() { e.end(j, TimedOut) })
+	e.player.time.after(acceptDelay, func() { e.enqueue(j) })
+	e.player.time.at(j.spec.Deadline, func() { e.endJob(j, TimedOut) })
 	if j.trace.CancelMillis > 0 {
-		e.player.time.at(epoch.Add(time.Duration(j.trace.CancelMillis)*time.Millisecond), func() { e.end(j, Cancelled) })
+		e.player.time.at(epoch.Add(time.Duration(j.trace.CancelMillis)*time.Millisecond), func() { e.endJob(j, Cancelled) })
 	}
 }
 
-// refuseJob answers a refusal. In a trace with Resubmit the caller tries another entry after RetryAfter.
+// refuseJob refuses a job. In a trace with Resubmit, the caller submits it to another entry after RetryAfter.
 func (e *entry) refuseJob(j *job, refusal *scheduler.Refusal) {
 	j.attempts++
-	again := e.player.time.now.Add(max(refusal.RetryAfter, 100*time.Millisecond))
-	if e.player.trace.Resubmit && again.Before(j.spec.Deadline) {
+	retryAt := e.player.time.now.Add(max(refusal.RetryAfter, 100*time.Millisecond))
+	if e.player.trace.Resubmit && retryAt.Before(j.spec.Deadline) {
 		next := e.player.entries[(e.index+j.attempts)%len(e.player.entries)]
-		e.player.time.at(again, func() { next.arrive(j) })
+		e.player.time.at(retryAt, func() { next.arrive(j) })
 		return
 	}
 	e.answer(j, Refused)
 }
 
-func (e *entry) accepted(j *job) {
+func (e *entry) enqueue(j *job) {
 	if j.ended {
 		return
 	}
@@ -55,51 +55,51 @@
 	e.dispatch()
 }
 
-// dispatch sends what the scheduler releases and sets the timer for its next run.
+// dispatch sends the tasks that the scheduler assigns and schedules its next run.
 func (e *entry) dispatch() {
 	now := e.player.time.now
-	for _, sent := range e.scheduler.Dispatch(now) {
-		to := e.player.agents[sent.Agent]
-		e.player.jobs[sent.Item.Key.Job].holders[to]++
+	for _, assignment := range e.scheduler.Dispatch(now) {
+		agent := e.player.agents[assignment.Agent]
+		e.player.jobs[assignment.Item.Key.Job].unfinished[agent]++
 		e.player.report.Tasks++
-		e.player.send(e.zone, to.zone, func() { to.assign(e, sent.Item) })
+		e.player.send(e.zone, agent.zone, func() { agent.assign(e, assignment.Item) })
 	}
-	if next := e.scheduler.Next(); !next.IsZero() && !next.Equal(e.timer) {
-		e.timer = next
+	if next := e.scheduler.Next(); !next.IsZero() && !next.Equal(e.wakeAt) {
+		e.wakeAt = next
 		e.player.time.at(next, e.dispatch)
 	}
 }
 
-func (e *entry) done(from *agent, key specifier.TaskKey, ok bool, run time.Duration) {
+func (e *entry) taskDone(from *agent, key specifier.TaskKey, ok bool, run time.Duration) {
 	now := e.player.time.now
 	e.scheduler.Done(now, from.member.Identity, key, ok, run)
 	for _, id := range e.scheduler.Ejections() {
 		e.player.report.Ejected[id.Name]++
 	}
 	j := e.player.jobs[key.Job]
-	j.holders[from]--
+	j.unfinished[from]--
 	if !ok && !j.trace.Poison {
 		e.player.report.LostTasks[e.index]++
 		j.record.LostTasks++
 	}
 	if !j.ended {
 		if j.remaining--; !ok {
-			e.end(j, Failed)
+			e.endJob(j, Failed)
 		} else if j.remaining == 0 {
-			e.end(j, Completed)
+			e.endJob(j, Completed)
 		}
 	}
 	e.dispatch()
 }
 
-func (e *entry) refused(from *agent, key specifier.TaskKey) {
-	e.player.jobs[key.Job].holders[from]--
+func (e *entry) taskRefused(from *agent, key specifier.TaskKey) {
+	e.player.jobs[key.Job].unfinished[from]--
 	e.scheduler.Refused(e.player.time.now, from.member.Identity, key)
 	e.dispatch()
 }
 
-// end answers a job once and withdraws what agents still hold of it.
-func (e *entry) end(j *job, outcome Outcome) {
+// endJob answers a job once and, unless it is complete, withdraws its unfinished tasks from the agents.
+func (e *entry) endJob(j *job, outcome Outcome) {
 	if j.ended {
 		return
 	}
@@ -108,9 +108,9 @@
 		return
 	}
 	e.scheduler.Forget(j.spec.ID)
-	for _, holder := range e.player.ordered {
-		if j.holders[holder] > 0 {
-			e.player.send(e.zone, holder.zone, func() { holder.withdraw(j.spec.ID) })
+	for _, agent := range e.player.agentList {
+		if j.unfinished[agent] > 0 {
+			e.player.send(e.zone, agent.zone, func() { agent.withdraw(j.spec.ID) })
 		}
 	}
 	e.dispatch()
@@ -120,15 +120,15 @@
 	j.ended = true
 	at := e.player.time.now.Add(callerDelay)
 	j.record.Outcome = outcome
-	j.record.Response = at.Sub(j.arrived)
+	j.record.Response = at.Sub(j.arrivedAt)
 	j.record.Late = at.After(j.spec.Deadline.Add(2 * callerDelay))
 }
 
-// setMembers passes on a change of membership and fails the jobs whose tasks are lost with an agent.
+// setMembers gives the scheduler a new membership and fails the jobs whose tasks are lost with an agent.
 func (e *entry) setMembers(members []specifier.Member) {
 	lost := e.scheduler.SetMembers(e.player.time.now, slices.Clone(members))
 	for _, each := range lost {
-		e.end(e.player.jobs[each.Item.Key.Job], Failed)
+		e.endJob(e.player.jobs[each.Item.Key.Job], Failed)
 	}
 	for _, member := range members {
 		e.scheduler.SetLinked(e.player.time.now, member.Identity, true)
--- a/replay/player/job.go
+++ b/replay/player/job.go
@@ -9,25 +9,25 @@
 	"oleandertally/replay/tracer"
 )
 
-// job is a submission in flight.
+// job is a submitted job and its progress.
 type job struct {
-	trace     tracer.Job
-	spec      specifier.Job
-	arrived   time.Time
-	record    *Record
-	index     map[string]int // of each task
-	remaining int
-	holders   map[*agent]int // unfinished tasks sent to each agent
-	ended     bool
-	attempts  int
+	trace      tracer.Job
+	spec       specifier.Job
+	arrivedAt  time.Time
+	record     *Record
+	index      map[string]int // index of each task in the trace's job, by task ID
+	remaining  int
+	unfinished map[*agent]int // unfinished tasks sent to each agent
+	ended      bool
+	attempts   int
 }
 
 func newJob(number int, from tracer.Job, record *Record) *job {
 	id := specifier.NewJobID(from.Team, strconv.Itoa(number))
 	j := &job{trace: from, record: record, index: make(map[string]int), remaining: len(from.RunMillis),
-		holders: make(map[*agent]int), arrived: epoch.Add(from.At())}
+		unfinished: make(map[*agent]int), arrivedAt: epoch.Add(from.At())}
 	j.spec = specifier.Job{ID: id, Team: from.Team, Key: strconv.Itoa(number), Profile: from.Profile,
-		Deadline: j.arrived.Add(from.TimeLeft())}
+		Deadline: j.arrivedAt.Add(from.TimeLeft())}
 	for i := range from.RunMillis {
 		name := strconv.Itoa(i)
 		j.index[name] = i
@@ -36,7 +36,7 @@
 	return j
 }
 
-// items returns the tasks in the order that the variant's policy gives them.
+// items returns the tasks, with their place in the order of the variant's policy.
 func (j *job) items(now time.Time, variant Variant, service string) []scheduler.Item {
 	var items []scheduler.Item
 	at := variant.Order.At(now, len(j.spec.Tasks), 0)
--- a/replay/player/lease.go
+++ b/replay/player/lease.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// leaseTerm and renewEvery are those of the entries' own leases: renewed at a third of the term.
-	leaseTerm  = 3 * time.Second
-	renewEvery = time.Second
+	// leaseTerm and renewInterval equal those of the leases that entries use. A lease is renewed after a third of its term.
+	leaseTerm     = 3 * time.Second
+	renewInterval = time.Second
 )
 
-// startLessor renews the leases of all entries while jobs arrive.
+// startLessor starts a lessor that divides the slots, and lets all entries renew their leases while jobs arrive.
 func (p *Player) startLessor(teams map[string]specifier.Team) {
 	if len(teams) == 0 || !p.variant.Leases {
 		return
@@ -21,18 +21,18 @@
 	lessor := &limiter.Lessor[int]{Slots: workers * slots, Term: leaseTerm}
 	lessor.SetTeams(teams)
 	for _, e := range p.entries {
-		// Entries renew at different times.
-		p.time.after(time.Duration(e.index)*renewEvery/time.Duration(len(p.entries)), func() { p.renew(lessor, e) })
+		// The renewals of the entries are spread evenly over the interval.
+		p.time.after(time.Duration(e.index)*renewInterval/time.Duration(len(p.entries)), func() { p.renewLease(lessor, e) })
 	}
 }
 
-func (p *Player) renew(lessor *limiter.Lessor[int], e *entry) {
+func (p *Player) renewLease(lessor *limiter.Lessor[int], e *entry) {
 	need := e.scheduler.Need(service)
-	p.time.after(crossDelay, func() {
+	p.time.after(crossZoneDelay, func() {
 		lease := lessor.Renew(p.time.now, e.index, need)
-		p.time.after(crossDelay, func() { e.scheduler.SetLease(p.time.now, service, lease) })
+		p.time.after(crossZoneDelay, func() { e.scheduler.SetLease(p.time.now, service, lease) })
 	})
 	if p.time.elapsed() < p.trace.Length() {
-		p.time.after(renewEvery, func() { p.renew(lessor, e) })
+		p.time.after(renewInterval, func() { p.renewLease(lessor, e) })
 	}
 }
--- a/replay/player/outcome.go
+++ b/replay/player/outcome.go
@@ -1,6 +1,6 @@
 package player
 
-// Outcome is how a job ended in a replay.
+// Outcome is the result of a job in a replay.
 type Outcome uint8
 
 // The outcomes.
--- a/replay/player/player.go
+++ b/replay/player/player.go
@@ -15,28 +15,28 @@
 	zones   = tracer.Zones
 	service = "reservas"
 
-	callerDelay = 3 * time.Millisecond    // one way between caller and entry
-	innerDelay  = 200 * time.Microsecond  // one way within a zone
-	crossDelay  = 1500 * time.Microsecond // one way between zones
-	acceptDelay = 5 * time.Millisecond    // the synced write that accepts a job
-	leaseTime   = 2 * time.Second         // from the loss of an agent to its record as down
-	spreadDelay = 10 * time.Millisecond   // from a change of membership to the entries
+	callerDelay     = 3 * time.Millisecond    // one way between caller and entry
+	sameZoneDelay   = 200 * time.Microsecond  // one way within a zone
+	crossZoneDelay  = 1500 * time.Microsecond // one way between zones
+	acceptDelay     = 5 * time.Millisecond    // of the synced write that records an accepted job
+	downDelay       = 2 * time.Second         // from the loss of an agent until it is recorded as down
+	membershipDelay = 10 * time.Millisecond   // from a change of the membership until the entries know it
 )
 
 // Player plays one trace with one variant.
 type Player struct {
-	trace   tracer.Trace
-	variant Variant
-	time    *timeline
-	entries []*entry
-	agents  map[specifier.Identity]*agent
-	ordered []*agent
-	members []specifier.Member
-	jobs    map[specifier.JobID]*job
-	report  *Report
+	trace     tracer.Trace
+	variant   Variant
+	time      *timeline
+	entries   []*entry
+	agents    map[specifier.Identity]*agent
+	agentList []*agent
+	members   []specifier.Member
+	jobs      map[specifier.JobID]*job
+	report    *Report
 }
 
-// Play runs the whole trace and returns its report. Equal arguments give equal reports.
+// Play plays a whole trace and returns the report. It is deterministic: equal arguments give equal reports.
 func Play(trace tracer.Trace, variant Variant) *Report {
 	p := &Player{trace: trace, variant: variant, time: newTimeline(), agents: make(map[specifier.Identity]*agent),
 		jobs: make(map[specifier.JobID]*job), report: &Report{Records: make([]Record, len(trace.Jobs)),
@@ -49,7 +49,7 @@
 		p.time.at(epoch.Add(fault.At()), func() { p.inject(fault) })
 	}
 	p.time.play()
-	p.report.UsefulSlotTime = useful(p.report.Records)
+	p.report.UsefulSlotTime = usefulSlotTime(p.report.Records)
 	return p.report
 }
 
@@ -59,7 +59,7 @@
 			Role: specifier.Agent, Addr: address(i), Zone: zoneName(i * zones / workers), Rack: fmt.Sprintf("rack-%d", i/3),
 			Service: service, Slots: slots, State: specifier.Up}
 		a := newAgent(p, i, i*zones/workers, member)
-		p.agents[member.Identity], p.ordered = a, append(p.ordered, a)
+		p.agents[member.Identity], p.agentList = a, append(p.agentList, a)
 		p.members = append(p.members, member)
 	}
 	for i := range p.trace.Entries {
@@ -83,32 +83,32 @@
 	p.report.Records[number].Job = from
 	j := newJob(number, from, &p.report.Records[number])
 	p.jobs[j.spec.ID] = j
-	p.time.at(j.arrived.Add(callerDelay), func() { p.entries[from.Entry].arrive(j) })
+	p.time.at(j.arrivedAt.Add(callerDelay), func() { p.entries[from.Entry].arrive(j) })
 }
 
-// send delivers a message between an entry and an agent after the delay of the link.
+// send delivers a message between an entry and an agent after the network delay between their zones.
 func (p *Player) send(from, to int, deliver func()) {
 	p.report.Messages++
-	delay := innerDelay
+	delay := sameZoneDelay
 	if from != to {
-		delay = crossDelay
+		delay = crossZoneDelay
 	}
 	p.time.after(delay, deliver)
 }
 
-// inject applies the faults that concern membership. The others are looked up when a task starts.
+// inject applies the faults that change the membership. The other faults take effect in runTime, when a task starts.
 func (p *Player) inject(fault tracer.Fault) {
-	delay, state := spreadDelay, specifier.Draining
+	delay, state := membershipDelay, specifier.Draining
 	switch fault.Kind {
 	case tracer.ZoneLost:
-		delay, state = leaseTime, specifier.Down
+		delay, state = downDelay, specifier.Down
 	case tracer.Drain:
 	default:
 		return
 	}
-	for i, a := range p.ordered {
+	for i, a := range p.agentList {
 		if a.zone == fault.Zone {
-			a.dead = fault.Kind == tracer.ZoneLost
+			a.down = fault.Kind == tracer.ZoneLost
 			p.members[i].State = state
 		}
 	}
@@ -123,28 +123,28 @@
 	return specifier.Profile{Name: name, Service: service, TypicalTime: time.Duration(p.trace.Typical[name]) * time.Millisecond}
 }
 
-// ran counts the slot time of a task that ended now.
-func (p *Player) ran(key specifier.TaskKey, run time.Duration) {
+// recordRun counts the slot time of a task that ends now.
+func (p *Player) recordRun(key specifier.TaskKey, run time.Duration) {
 	j := p.jobs[key.Job]
-	in := inWindow(p.trace, p.time.now, run)
+	inside := inWindow(p.trace, p.time.now, run)
 	p.report.SlotTime += run
-	p.report.TeamSlotTime[j.trace.Team] += in
-	j.record.ran += in
+	p.report.TeamSlotTime[j.trace.Team] += inside
+	j.record.windowSlotTime += inside
 }
 
-// inWindow returns how much of a run that ended at end lies in the window in which goodput is measured:
-// while jobs arrive, after the queues have filled.
+// inWindow returns the part of a run that ended at end which lies in the goodput window. The window lasts while jobs
+// arrive, except for the first sixth, in which the queues fill.
 func inWindow(trace tracer.Trace, end time.Time, run time.Duration) time.Duration {
 	until := min(end.Sub(epoch), trace.Length())
 	from := max(end.Sub(epoch)-run, trace.Length()/6)
 	return max(until-from, 0)
 }
 
-func useful(records []Record) time.Duration {
+func usefulSlotTime(records []Record) time.Duration {
 	total := time.Duration(0)
 	for _, record := range records {
 		if record.Outcome == Completed && !record.Late {
-			total += record.ran
+			total += record.windowSlotTime
 		}
 	}
 	return total
--- a/replay/player/record.go
+++ b/replay/player/record.go
@@ -6,14 +6,14 @@
 	"oleandertally/replay/tracer"
 )
 
-// Record is what became of one job.
+// Record is the result of one job.
 type Record struct {
-	Job       tracer.Job
-	Outcome   Outcome
-	Response  time.Duration // from the caller's first request to the answer
-	Late      bool          // the answer came after the deadline
-	LostTasks int           // tasks that a sick worker failed
-	ran       time.Duration // slot time in the window of goodput
+	Job            tracer.Job
+	Outcome        Outcome
+	Response       time.Duration // from the caller's first request to the answer
+	Late           bool          // the answer came after the deadline
+	LostTasks      int           // tasks that failed on an unhealthy worker
+	windowSlotTime time.Duration // slot time used in the goodput window
 }
 
 // Ratio returns the response time over the job's ideal.
--- a/replay/player/report.go
+++ b/replay/player/report.go
@@ -6,11 +6,11 @@
 type Report struct {
 	Records   []Record
 	Messages  int           // between entries and agents
-	Tasks     int           // sent to an agent
-	SlotTime  time.Duration // slot time spent on tasks
-	LostTasks map[int]int   // tasks failed by a sick worker, for each entry
-	// Useful is the slot time, in the window in which goodput is measured, of jobs completed in time.
+	Tasks     int           // assignments to agents
+	SlotTime  time.Duration // total run time of the tasks
+	LostTasks map[int]int   // tasks that failed on an unhealthy worker, by entry
+	// UsefulSlotTime is the slot time that jobs completed in time used in the goodput window.
 	UsefulSlotTime time.Duration
-	Ejected        map[string]int           // times that a worker was ejected, by name
-	TeamSlotTime   map[string]time.Duration // slot time in the same window
+	Ejected        map[string]int           // number of ejections, by name of the worker
+	TeamSlotTime   map[string]time.Duration // slot time used in the goodput window, by team
 }
--- a/replay/player/scheduler.go
+++ b/replay/player/scheduler.go
@@ -8,7 +8,7 @@
 	"oleandertally/dispatch/scheduler"
 )
 
-// Scheduler is what an entry's coordinator calls.
+// Scheduler has the scheduler's methods that an entry's coordinator calls.
 type Scheduler interface {
 	SetMembers(now time.Time, members []specifier.Member) []scheduler.Assignment
 	SetLinked(now time.Time, id specifier.Identity, linked bool)
--- a/replay/player/timeline.go
+++ b/replay/player/timeline.go
@@ -6,30 +6,30 @@
 	"oleandertally/core/container"
 )
 
-// timeline runs functions at their times; those of one time in the order in which they were added.
+// timeline is a simulated clock with timers. Timers of equal time run in the order in which they were added.
 type timeline struct {
-	now   time.Time
-	count int
-	heap  container.Heap[moment]
+	now    time.Time
+	count  int
+	timers container.Heap[timer]
 }
 
-// moment is one scheduled function.
-type moment struct {
-	at     time.Time
-	number int
-	run    func()
+// timer is a function that runs at a simulated time.
+type timer struct {
+	at       time.Time
+	sequence int
+	run      func()
 }
 
-// epoch is the start of every trace. Its value has no meaning.
+// epoch is the simulated time at the start of every trace. Its value is arbitrary.
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func newTimeline() *timeline {
 	t := &timeline{now: epoch}
-	t.heap.Less = func(a, b moment) bool {
+	t.timers.Less = func(a, b timer) bool {
 		if !a.at.Equal(b.at) {
 			return a.at.Before(b.at)
 		}
-		return a.number < b.number
+		return a.sequence < b.sequence
 	}
 	return t
 }
@@ -39,7 +39,7 @@
 		at = t.now
 	}
 	t.count++
-	t.heap.Push(moment{at: at, number: t.count, run: run})
+	t.timers.Push(timer{at: at, sequence: t.count, run: run})
 }
 
 func (t *timeline) after(delay time.Duration, run func()) { t.at(t.now.Add(delay), run) }
@@ -49,7 +49,7 @@
 
 func (t *timeline) play() {
 	for {
-		next, ok := t.heap.Pop()
+		next, ok := t.timers.Pop()
 		if !ok {
 			return
 		}
--- a/replay/player/variant.go
+++ b/replay/player/variant.go
@@ -5,11 +5,11 @@
 	"oleandertally/dispatch/orderer"
 )
 
-// Variant is one set of policies to play a trace with.
+// Variant is a named set of policies.
 type Variant struct {
 	Name  string
 	Order orderer.Policy
-	// FIFO makes agents start tasks in order of arrival at the agent.
+	// FIFO makes agents start tasks in the order in which they arrive at the agent.
 	FIFO bool
 	// Leases makes a lessor divide the slots among entries and teams.
 	Leases bool
--- a/replay/reporter/doc.go
+++ b/replay/reporter/doc.go
@@ -1,2 +1,2 @@
-// Package reporter turns the reports of replays into tables.
+// Package reporter summarizes the reports of replays and prints them as tables.
 package reporter
--- a/replay/reporter/summary.go
+++ b/replay/reporter/summary.go
@@ -12,20 +12,20 @@
 	"oleandertally/replay/tracer"
 )
 
-// Summary is one row of a table. Ratios are response over ideal of the completed jobs.
+// Summary is one row of a table. Ratios are the response times of completed jobs over their ideal.
 type Summary struct {
 	Variant                          string
 	AllMedian, AllP99                float64 // p50 and p99 of all jobs
 	ShortMedian                      float64
 	ShortP99                         float64 // p99 of jobs of 1 to 8 tasks
 	WorstWide                        float64 // of jobs of more than 60 tasks
-	Goodput                          float64 // work answered in time over the lesser of demand and capacity
-	Blocking                         float64 // ShortHigh over that without the long jobs; 0: not measured
-	MaxLostTasks                     int     // most tasks lost to sick workers by one entry
-	CorrectEjections, WrongEjections int     // ejections of sick and of healthy workers
-	MessagesPerTask                  float64 // for each task
-	Refused, Failed                  int     // jobs; Failed includes those that timed out
-	Teams                            string  // share of the slots that each team used
+	Goodput                          float64 // work answered in time over the smaller of demand and capacity
+	Blocking                         float64 // ShortP99 over its value without the long jobs; 0: not measured
+	MaxLostTasks                     int     // tasks of one entry that failed on unhealthy workers, maximum over the entries
+	CorrectEjections, WrongEjections int     // ejections of unhealthy and of healthy workers
+	MessagesPerTask                  float64
+	Refused, Failed                  int    // jobs; Failed includes those that timed out
+	Teams                            string // share of the slots that each team used
 }
 
 const (
@@ -72,7 +72,7 @@
 	return s
 }
 
-// teamShares lists, by name, the part of the capacity that each team used.
+// teamShares lists the share of the capacity that each team used, ordered by name.
 func teamShares(trace tracer.Trace, report *player.Report) string {
 	capacity := (trace.Length() - trace.Length()/6) * tracer.Slots
 	var parts []string
@@ -82,11 +82,12 @@
 	return strings.Join(parts, ", ")
 }
 
-// Batch is the profile of long jobs in the traces. Its jobs are not short work, however few tasks they have.
+// Batch is the profile of the long jobs in the traces. They never count as short, even with few tasks.
 const Batch = "batch"
 
-// goodput is the work answered in time over the lesser of demand and capacity. Below capacity it counts the
-// jobs that arrived in the window, since how long a run reaches beyond the window says nothing there.
+// goodput returns the work answered in time over the smaller of demand and capacity. At or above capacity that is the
+// useful slot time in the window. Below capacity whole jobs that arrived in the window are counted, because there the part
+// of a run that lies outside the window does not matter.
 func goodput(trace tracer.Trace, report *player.Report) float64 {
 	start := trace.Length() / 6
 	if trace.Demand >= 1 {
@@ -105,10 +106,10 @@
 	return float64(answered) / float64(offered)
 }
 
-// ejections counts how many ejections hit a worker with a fault and how many another.
+// ejections counts the ejections of unhealthy workers and of healthy ones.
 func ejections(trace tracer.Trace, report *player.Report) (right, wrong int) {
 	for name, count := range report.Ejected {
-		if sick(trace, name) {
+		if isUnhealthy(trace, name) {
 			right += count
 		} else {
 			wrong += count
@@ -117,7 +118,7 @@
 	return right, wrong
 }
 
-// quantile returns the smallest value that is at least as large as a share of the values.
+// quantile returns the smallest value such that the given share of the values does not exceed it.
 func quantile(values []float64, share float64) float64 {
 	if len(values) == 0 {
 		return math.NaN()
--- a/replay/reporter/table.go
+++ b/replay/reporter/table.go
@@ -26,7 +26,7 @@
 	return printTeams(to, rows)
 }
 
-// printTeams writes the shares of the teams where there are several.
+// printTeams writes the slot shares of the teams for each row with more than one team.
 func printTeams(to io.Writer, rows []Summary) error {
 	for _, r := range rows {
 		if !strings.Contains(r.Teams, ",") {
--- a/replay/reporter/sick.go
+++ b/replay/reporter/unhealthy.go
@@ -6,8 +6,8 @@
 	"oleandertally/replay/tracer"
 )
 
-// sick reports whether a trace makes the named worker fail tasks.
-func sick(trace tracer.Trace, name string) bool {
+// isUnhealthy reports whether the trace has a fault that makes the named worker fail its tasks.
+func isUnhealthy(trace tracer.Trace, name string) bool {
 	for _, fault := range trace.Faults {
 		if fault.Kind == tracer.BlackHole && name == fmt.Sprintf("worker-%02d", fault.Worker) {
 			return true
--- a/replay/tracer/catalog.go
+++ b/replay/tracer/catalog.go
@@ -25,7 +25,7 @@
 		c.poison(), c.teams(), c.teamsSkewed())
 }
 
-// catalog holds what all traces of one catalog share.
+// catalog holds the parameters that are common to all traces of a catalog.
 type catalog struct {
 	seed   uint64
 	length time.Duration
@@ -40,14 +40,14 @@
 	return c.trace(name, demand, NewGenerator(c.seed, 3).Arrivals(0, c.length, demand))
 }
 
-// entries is the load at 80% with another number of entries.
+// entries returns a trace at 80% demand with another number of entries.
 func (c catalog) entries(count int) Trace {
 	trace := c.trace(fmt.Sprintf("entries-%d", count), 0.8, NewGenerator(c.seed, count).Arrivals(0, c.length, 0.8))
 	trace.Entries = count
 	return trace
 }
 
-// burst is ten times the base demand within one second.
+// burst returns a trace with ten times its base demand during one second.
 func (c catalog) burst() Trace {
 	g := NewGenerator(c.seed, 3)
 	base := g.Arrivals(0, c.length, 0.4)
@@ -55,7 +55,7 @@
 	return c.trace("burst", 0.4, merge(base, g.Arrivals(start, start+time.Second, 4)))
 }
 
-// shortBehindLong adds jobs of 8 tasks of 10 to 20 s, at 30% of capacity, to short work at 50%.
+// shortBehindLong returns short work at 50% demand, with jobs of 8 tasks of 10 to 20 s at 30% added.
 func (c catalog) shortBehindLong() Trace {
 	g := NewGenerator(c.seed, 3)
 	short := g.Arrivals(0, c.length, 0.5)
@@ -71,7 +71,7 @@
 	return c.trace("short-behind-long", 0.8, merge(short, long))
 }
 
-// declared is the load at 80% with a declared typical run time that is wrong by a factor of ten.
+// declared returns a trace at 80% demand with a declared typical run time that is wrong by a factor of ten.
 func (c catalog) declared(name string, typical int) Trace {
 	trace := c.steady(name, 0.8)
 	trace.Typical = map[string]int{"mix": typical}
@@ -99,7 +99,7 @@
 	return trace
 }
 
-// resubmit is twice the capacity with callers that send a refused job again.
+// resubmit returns a trace at twice the capacity whose callers submit refused jobs again.
 func (c catalog) resubmit() Trace {
 	trace := c.steady("resubmit", 2)
 	trace.Resubmit = true
@@ -113,7 +113,7 @@
 	return trace
 }
 
-// poison makes one job in 50 fail every task on any worker.
+// poison returns a trace in which every task of one job in 50 fails on any worker.
 func (c catalog) poison() Trace {
 	trace := c.steady("poison", 0.6)
 	for i := range trace.Jobs {
@@ -122,7 +122,7 @@
 	return trace
 }
 
-// teams is 1.5 times the capacity from two teams with shares 1 and 3: the first demands 1.2 of it.
+// teams returns a trace at 1.6 times the capacity from two teams with shares 1 and 3, of which the first demands 1.2.
 func (c catalog) teams() Trace {
 	g := NewGenerator(c.seed, 3)
 	small := g.Arrivals(0, c.length, 1.2)
@@ -134,8 +134,8 @@
 	return trace
 }
 
-// teamsSkewed is a team of share 3 whose work all arrives at one entry, against one of share 1 that asks for 1.2 of
-// the capacity everywhere.
+// teamsSkewed returns a trace in which all work of the team with share 3 arrives at one entry, while the team with share 1
+// demands 1.2 times the capacity over all entries.
 func (c catalog) teamsSkewed() Trace {
 	trace := c.teams()
 	trace.Name = "teams-skewed"
--- a/replay/tracer/doc.go
+++ b/replay/tracer/doc.go
@@ -1,3 +1,3 @@
-// Package tracer reads, writes and generates traces: JSON Lines files whose first line is a header and
-// whose other lines are jobs in order of arrival.
+// Package tracer reads, writes and generates traces: JSON Lines files with a header in the first line and one job in each
+// further line, in order of arrival.
 package tracer
--- a/replay/tracer/generator.go
+++ b/replay/tracer/generator.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Slots is the number of slots of the modelled service: 11 workers of 8.
+// Slots is the number of slots of the modelled service: 11 workers with 8 each.
 const Slots = 88
 
-// meanWork is the mean work of a job of the mix, in ms: 8.2 tasks of 0.6 s. It only converts demand to
-// an arrival rate; the demand that a trace offers is computed from its jobs.
+// meanWork is the mean work of a job of the mix, in ms: 8.2 tasks of 0.6 s. It is only used to convert a demand to an
+// arrival rate; the demand that a trace really offers is computed from its jobs.
 const meanWork = 8.18 * 605
 
-// Generator makes jobs of the design page's mix from a seed.
+// Generator generates jobs of the design page's mix from a seed.
 type Generator struct {
 	random  *rand.Rand
 	entries int
@@ -46,8 +46,7 @@
 	return withDeadline(job)
 }
 
-// withDeadline sets a deadline that a caller with some patience would choose: 10 s, or 4 times the
-// ideal for a job that cannot be faster.
+// withDeadline sets the deadline that a patient caller would choose: 10 s, or 4 times the ideal of a job if that is more.
 func withDeadline(job Job) Job {
 	job.TimeLeftMillis = int(max(10*time.Second, 4*job.Ideal(Slots, 0)).Milliseconds())
 	return job
@@ -73,7 +72,7 @@
 	return 20000 + g.random.IntN(40001)
 }
 
-// merge joins lists of jobs in order of arrival.
+// merge merges lists of jobs in order of arrival.
 func merge(lists ...[]Job) []Job {
 	all := slices.Concat(lists...)
 	slices.SortStableFunc(all, func(a, b Job) int { return a.AtMillis - b.AtMillis })
--- a/replay/tracer/job.go
+++ b/replay/tracer/job.go
@@ -9,15 +9,15 @@
 	Team           string `json:",omitempty"`
 	Profile        string
 	TimeLeftMillis int
-	RunMillis      []int // what each task takes on a healthy worker
+	RunMillis      []int // run time of each task on a healthy worker
 	CancelMillis   int   `json:",omitempty"` // when the caller cancels; 0: never
-	Poison         bool  `json:",omitempty"` // every task fails at once on any worker
+	Poison         bool  `json:",omitempty"` // every task fails immediately on any worker
 }
 
-// At returns the arrival.
+// At returns the time of arrival since the start of the trace.
 func (j Job) At() time.Duration { return millis(j.AtMillis) }
 
-// TimeLeft returns the time until the deadline on arrival.
+// TimeLeft returns the time from arrival to the deadline.
 func (j Job) TimeLeft() time.Duration { return millis(j.TimeLeftMillis) }
 
 // Run returns the run time of task i.
@@ -41,7 +41,7 @@
 	return millis(longest)
 }
 
-// Ideal returns the least response time with slots slots and the given round trip from the caller.
+// Ideal returns the minimum response time on a number of slots with the given round trip from the caller.
 func (j Job) Ideal(slots int, roundTrip time.Duration) time.Duration {
 	return max(j.Longest(), j.Work()/time.Duration(slots)) + roundTrip
 }
--- a/replay/tracer/read.go
+++ b/replay/tracer/read.go
@@ -12,12 +12,12 @@
 const (
 	maxLine = 64 << 10
 	maxJobs = 200_000
-	// maxMillis is the longest time that a field may hold: a day.
+	// maxMillis is the maximum value of a time field: one day.
 	maxMillis = 24 * 60 * 60 * 1000
 	maxTasks  = 270
 )
 
-// Read reads a trace and checks all of it. The error names the line and the field.
+// Read reads and validates a trace. An error names the line and the field.
 func Read(from io.Reader) (Trace, error) {
 	lines := bufio.NewScanner(from)
 	lines.Buffer(nil, maxLine)
--- a/replay/tracer/trace.go
+++ b/replay/tracer/trace.go
@@ -8,9 +8,9 @@
 	Seed         uint64 // of the generator
 	Entries      int
 	Demand       float64            // offered work over capacity
-	LengthMillis int                // jobs arrive within it
+	LengthMillis int                // time in which jobs arrive
 	Typical      map[string]int     `json:",omitempty"` // declared run time in ms for each profile
-	Teams        map[string]float64 `json:",omitempty"` // shares
+	Teams        map[string]float64 `json:",omitempty"` // shares of the slots
 	Resubmit     bool               `json:",omitempty"` // callers retry a refused job after RetryAfter
 	Faults       []Fault            `json:",omitempty"`
 	Jobs         []Job              `json:"-"`
--- a/replay/tracer/write.go
+++ b/replay/tracer/write.go
@@ -7,7 +7,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Write writes a trace as Read reads it.
+// Write writes a trace in the format that Read reads.
 func Write(to io.Writer, trace Trace) error {
 	lines := json.NewEncoder(to)
 	if err := lines.Encode(trace); err != nil {
