--- a/replay/player/agent.go
+++ b/replay/player/agent.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// startWaiting refuses the queued tasks that can't meet their deadline and starts tasks on the free slots.
+// startWaiting refuses the queued tasks whose deadline has passed and starts tasks on the free slots.
 func (a *agent) startWaiting() {
 	now := a.player.time.now
 	for _, late := range a.queue.Expire(now) {
