--- a/local/deployer/harness_test.go
+++ b/local/deployer/harness_test.go
@@ -172,7 +172,7 @@
 func (h *harness) mustCountStarts(key string, tasks, minStarts, maxStarts int) {
 	h.t.Helper()
 	for i := range tasks {
-		must.Between(h.t, minStarts, h.starts.Of(jobID(key).String(), fmt.Sprintf("t%03d", i)), maxStarts, must.Sprintf("starts of %s task %d", key, i))
+		must.Between(h.t, minStarts, h.starts.StartsOf(jobID(key).String(), fmt.Sprintf("t%03d", i)), maxStarts, must.Sprintf("starts of %s task %d", key, i))
 	}
 }
 
--- a/local/deployer/stop_test.go
+++ b/local/deployer/stop_test.go
@@ -112,7 +112,7 @@
 func (b *burst) startCount(key string, job tracer.Job) int {
 	started := 0
 	for i := range job.RunMillis {
-		started += b.starts.Of(specifier.NewJobID(job.Team, key).String(), fmt.Sprintf("t%03d", i))
+		started += b.starts.StartsOf(specifier.NewJobID(job.Team, key).String(), fmt.Sprintf("t%03d", i))
 	}
 	return started
 }
--- a/local/emulator/startlog.go
+++ b/local/emulator/startlog.go
@@ -42,7 +42,7 @@
 }
 
 // Of returns how often a task started.
-func (l *StartLog) Of(job, task string) int {
+func (l *StartLog) StartsOf(job, task string) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.starts[job+"/"+task]
--- a/local/report.go
+++ b/local/report.go
@@ -86,7 +86,7 @@
 	for _, result := range r.results {
 		job := specifier.NewJobID(result.Job.Team, result.Key).String()
 		for i := range result.Job.RunMillis {
-			count := starts.Of(job, fmt.Sprintf("t%03d", i))
+			count := starts.StartsOf(job, fmt.Sprintf("t%03d", i))
 			if result.Err == nil && result.Response.Outcome == specifier.NotRun && count > 0 {
 				r.violations = append(r.violations, fmt.Sprintf("%s was answered NotRun, but a task started", result.Key))
 			}
