--- a/local/deployer/harness_test.go
+++ b/local/deployer/harness_test.go
@@ -81,7 +81,7 @@
 
 // warmUp submits jobs until every entry has had a task run by every agent.
 func (h *harness) warmUp() {
-	keys, err := h.sender.Warm(h.ctx, newJob("hold", h.site.Slots(), 20*time.Millisecond), h.site.Workers)
+	keys, err := h.sender.WarmUp(h.ctx, newJob("hold", h.site.Slots(), 20*time.Millisecond), h.site.Workers)
 	must.NoError(h.t, err)
 	for _, key := range keys {
 		h.warmUpJobs[jobID(key)] = true
--- a/local/measurecommand.go
+++ b/local/measurecommand.go
@@ -105,7 +105,7 @@
 	// The warm-up uses another profile than the mix. Otherwise the entries would learn that tasks of the mix take
 	// no time and treat every worker as a straggler.
 	wide := tracer.Job{Team: "sales", Profile: "hold", TimeLeftMillis: 10_000, RunMillis: make([]int, site.Slots())}
-	if _, err := sender.Warm(ctx, wide, site.Workers); err != nil {
+	if _, err := sender.WarmUp(ctx, wide, site.Workers); err != nil {
 		return measurement{}, err
 	}
 	before, startedAt, cpuBefore := messages.Tallies(), time.Now(), cpuTime()
--- a/local/submitter/warm.go
+++ b/local/submitter/warm.go
@@ -12,7 +12,7 @@
 
 // Warm sends jobs that are as wide as the site until every entry has had a task run by every worker:
 // before that, an entry refuses truly that it has no worker. It returns the keys that it used.
-func (s *Submitter) Warm(ctx context.Context, job tracer.Job, workers int) ([]string, error) {
+func (s *Submitter) WarmUp(ctx context.Context, job tracer.Job, workers int) ([]string, error) {
 	var keys []string
 	for entry := range s.Entries {
 		job.Entry = entry
