--- a/local/benchmarker/doc.go
+++ b/local/benchmarker/doc.go
@@ -1,2 +1,2 @@
-// Package benchmarker holds the benchmarks whose slopes docs/CAPACITY.md uses.
+// Package benchmarker has the benchmarks from whose slopes docs/CAPACITY.md computes the capacity.
 package benchmarker
--- a/local/benchmarker/entry_test.go
+++ b/local/benchmarker/entry_test.go
@@ -12,20 +12,20 @@
 	"oleandertally/entry/coordinator"
 )
 
-// taskCount is the mean width of a job of the mix, rounded.
+// taskCount is the rounded mean number of tasks of a job of the mix.
 const taskCount = 8
 
-// gap is the time between two jobs: the scheduler sends an agent two tasks in 5 ms at most.
-const gap = 10 * time.Millisecond
+// jobInterval is the time between two jobs, since the scheduler sends an agent at most two tasks in 5 ms.
+const jobInterval = 10 * time.Millisecond
 
-// each runs a benchmark at several sizes.
-func each(b *testing.B, sizes []int, run func(*testing.B, int)) {
+// runSizes runs a benchmark at several sizes.
+func runSizes(b *testing.B, sizes []int, run func(*testing.B, int)) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) { run(b, size) })
 	}
 }
 
-// heapOf returns the bytes of heap that what build returns takes.
+// heapOf returns the heap size, in bytes, of the value that build returns.
 func heapOf[T any](build func() T) float64 {
 	heap := func() float64 {
 		runtime.GC()
@@ -34,81 +34,81 @@
 		return float64(stats.HeapAlloc)
 	}
 	before := heap()
-	held := build()
+	value := build()
 	after := heap()
-	runtime.KeepAlive(held)
+	runtime.KeepAlive(value)
 	return after - before
 }
 
-// BenchmarkEntryInFlight reports the heap of an entry for each job of 8 tasks that waits or runs, on 940
-// workers. The payloads of 100 bytes are part of it.
+// BenchmarkEntryInFlight reports the heap of an entry for each queued or running job of 8 tasks, on 940 workers. It
+// includes the payloads of 100 bytes.
 func BenchmarkEntryInFlight(b *testing.B) {
-	each(b, []int{1000, 5000, 20_000}, func(b *testing.B, jobs int) {
+	runSizes(b, []int{1000, 5000, 20_000}, func(b *testing.B, jobs int) {
 		var perJob float64
 		for b.Loop() {
-			stand := newEntryStand(940, 1<<20)
-			perJob = heapOf(func() *entryStand {
+			fixture := newEntryFixture(940, 1<<20)
+			perJob = heapOf(func() *entryFixture {
 				for range jobs {
-					stand.submit(taskCount)
+					fixture.submit(taskCount)
 				}
-				return stand
+				return fixture
 			}) / float64(jobs)
 		}
 		b.ReportMetric(perJob, "B/job")
 	})
 }
 
-// BenchmarkEntryAnswered reports the heap of an entry for each answered job that it keeps for repeats.
+// BenchmarkEntryAnswered reports the heap of an entry for each answered job that it keeps for repeated requests.
 func BenchmarkEntryAnswered(b *testing.B) {
-	each(b, []int{1000, 5000, 20_000}, func(b *testing.B, jobs int) {
+	runSizes(b, []int{1000, 5000, 20_000}, func(b *testing.B, jobs int) {
 		var perJob float64
 		for b.Loop() {
-			stand := newEntryStand(940, 1<<20)
-			perJob = heapOf(func() *entryStand {
+			fixture := newEntryFixture(940, 1<<20)
+			perJob = heapOf(func() *entryFixture {
 				for range jobs {
-					_, actions := stand.submit(taskCount)
-					must.True(b, stand.finish(actions))
-					stand.now = stand.now.Add(gap)
+					_, actions := fixture.submit(taskCount)
+					must.True(b, fixture.finish(actions))
+					fixture.now = fixture.now.Add(jobInterval)
 				}
-				return stand
+				return fixture
 			}) / float64(jobs)
 		}
 		b.ReportMetric(perJob, "B/job")
 	})
 }
 
-// BenchmarkEntryJob reports the control goroutine's time for a job of 8 tasks, from its submission to
-// its record, on a number of workers.
+// BenchmarkEntryJob reports the control goroutine's time for a job of 8 tasks, from its submission until its end is
+// recorded, by the number of workers.
 func BenchmarkEntryJob(b *testing.B) {
-	each(b, []int{11, 110, 940}, func(b *testing.B, workers int) {
-		stand := newEntryStand(workers, 1<<20)
+	runSizes(b, []int{11, 110, 940}, func(b *testing.B, workers int) {
+		fixture := newEntryFixture(workers, 1<<20)
 		for b.Loop() {
-			_, actions := stand.submit(taskCount)
-			must.True(b, stand.finish(actions))
-			// Answered jobs leave after their retention, as they do when jobs come at 100 a second.
-			stand.now = stand.now.Add(gap)
-			stand.machine.Expire(stand.now)
+			_, actions := fixture.submit(taskCount)
+			must.True(b, fixture.finish(actions))
+			// Answered jobs expire after their retention, as they would at 100 jobs a second.
+			fixture.now = fixture.now.Add(jobInterval)
+			fixture.machine.Expire(fixture.now)
 		}
 	})
 }
 
 // BenchmarkEntryMembers reports the control goroutine's time for one change of the membership.
 func BenchmarkEntryMembers(b *testing.B) {
-	each(b, []int{11, 110, 940}, func(b *testing.B, workers int) {
-		stand, members := newEntryStand(workers, 1<<20), newMembers(workers)
+	runSizes(b, []int{11, 110, 940}, func(b *testing.B, workers int) {
+		fixture, members := newEntryFixture(workers, 1<<20), newMembers(workers)
 		for version := uint64(2); b.Loop(); version++ {
 			members[0].Incarnation = specifier.Incarnation(version)
-			stand.machine.Step(stand.now, coordinator.MembersChanged{Version: version, Members: members})
+			fixture.machine.Step(fixture.now, coordinator.MembersChanged{Version: version, Members: members})
 		}
 	})
 }
 
 // BenchmarkEntryView reports the heap of an entry for each worker that it knows.
 func BenchmarkEntryView(b *testing.B) {
-	each(b, []int{110, 940, 4000}, func(b *testing.B, workers int) {
+	runSizes(b, []int{110, 940, 4000}, func(b *testing.B, workers int) {
 		var perWorker float64
 		for b.Loop() {
-			perWorker = heapOf(func() *entryStand { return newEntryStand(workers, 1000) }) / float64(workers)
+			perWorker = heapOf(func() *entryFixture { return newEntryFixture(workers, 1000) }) / float64(workers)
 		}
 		b.ReportMetric(perWorker, "B/worker")
 	})
--- a/local/benchmarker/entrystand_test.go
+++ b/local/benchmarker/entryfixture_test.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	service = "reservas"
-	slots   = 8
-	payload = 100 // bytes of a task's payload and of its result
+	service     = "reservas"
+	slots       = 8
+	payloadSize = 100 // in bytes, of a task's payload and of its result
 )
 
-var nine = time.Date(2026, 5, 4, 9, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 5, 4, 9, 0, 0, 0, time.UTC)
 
-// entryStand is a coordinator whose controllers and agents answer at once.
-type entryStand struct {
-	machine *coordinator.Coordinator
-	now     time.Time
-	last    uint64
-	epoch   specifier.Epoch
+// entryFixture is a coordinator whose controllers and agents answer immediately.
+type entryFixture struct {
+	machine  *coordinator.Coordinator
+	now      time.Time
+	jobCount uint64
+	epoch    specifier.Epoch
 }
 
-func newEntryStand(workers, maxJobs int) *entryStand {
-	e := &entryStand{now: nine, epoch: 1,
+func newEntryFixture(workers, maxJobs int) *entryFixture {
+	e := &entryFixture{now: startTime, epoch: 1,
 		machine: coordinator.New(maxJobs, rand.New(rand.NewPCG(1, 1)), &scheduler.Scheduler{})}
 	members := newMembers(workers)
 	e.machine.Step(e.now, coordinator.Identified{Self: specifier.Identity{Name: "entry-1", Incarnation: 1}})
@@ -42,7 +42,7 @@
 	return e
 }
 
-// newMembers returns agents in racks of three and five zones.
+// newMembers returns agents in five zones and in racks of three.
 func newMembers(workers int) []specifier.Member {
 	var members []specifier.Member
 	for i := range workers {
@@ -58,16 +58,16 @@
 	key := fmt.Sprintf("key-%020d", number)
 	job := specifier.Job{Team: "web", Key: key, ID: specifier.NewJobID("web", key), Profile: "mix", Deadline: deadline}
 	for i := range tasks {
-		job.Tasks = append(job.Tasks, specifier.Task{ID: fmt.Sprintf("t%03d", i), Payload: make([]byte, payload)})
+		job.Tasks = append(job.Tasks, specifier.Task{ID: fmt.Sprintf("t%03d", i), Payload: make([]byte, payloadSize)})
 	}
 	return job
 }
 
-// submit submits a job and has it accepted; the assignments are returned.
-func (e *entryStand) submit(tasks int) (job specifier.Job, actions []coordinator.Action) {
-	e.last++
-	job = newJob(e.last, tasks, e.now.Add(time.Minute))
-	for _, action := range e.machine.Step(e.now, coordinator.Submitted{Waiter: coordinator.Waiter(e.last), Job: job}) {
+// submit submits a job, accepts its proposal and returns the resulting actions, among them the assignments.
+func (e *entryFixture) submit(tasks int) (job specifier.Job, actions []coordinator.Action) {
+	e.jobCount++
+	job = newJob(e.jobCount, tasks, e.now.Add(time.Minute))
+	for _, action := range e.machine.Step(e.now, coordinator.Submitted{Waiter: coordinator.Waiter(e.jobCount), Job: job}) {
 		if propose, ok := action.(coordinator.Propose); ok {
 			actions = append(actions, e.machine.Step(e.now, coordinator.Decided{Command: propose.Command,
 				Decision: specifier.Decision{Verdict: specifier.Accepted, Epoch: e.epoch, Revision: 1, MemberVersion: 1}})...)
@@ -76,16 +76,16 @@
 	return job, actions
 }
 
-// finish returns a result for each assignment until the job is answered and recorded. It returns
-// whether a caller was answered.
-func (e *entryStand) finish(actions []coordinator.Action) (answered bool) {
+// finish completes each assigned task and applies each proposal until the job is answered and recorded. It reports
+// whether the caller got a complete answer.
+func (e *entryFixture) finish(actions []coordinator.Action) (answered bool) {
 	for len(actions) > 0 {
 		action := actions[0]
 		actions = actions[1:]
 		switch action := action.(type) {
 		case coordinator.Assign:
 			actions = append(actions, e.machine.Step(e.now, coordinator.TaskDone{Agent: action.Agent, Key: action.Key, Epoch: action.Epoch,
-				Body: make([]byte, payload), RunTime: 500 * time.Millisecond})...)
+				Body: make([]byte, payloadSize), RunTime: 500 * time.Millisecond})...)
 			actions = append(actions, e.machine.Step(e.now, coordinator.LoadReceived{Agent: action.Agent, Load: specifier.Load{Slots: slots}})...)
 		case coordinator.Propose:
 			actions = append(actions, e.machine.Step(e.now, coordinator.Decided{Command: action.Command,
--- a/local/counter/counter.go
+++ b/local/counter/counter.go
@@ -13,26 +13,26 @@
 // methodKey is the context key of a call's method.
 type methodKey struct{}
 
-// Counter counts the messages of the connections that it is set on. It is a stats.Handler, for the side
-// that opens the connections only, so that each message counts once. The zero value is ready.
+// Counter is a stats.Handler that counts the messages of gRPC connections. It is set only on the side that opens the
+// connections, so that each message counts once. The zero value is ready for use.
 type Counter struct {
 	mutex   sync.Mutex
 	tallies map[Flow]Tally
 }
 
-// Tallies returns what was counted so far.
+// Tallies returns the counts so far.
 func (c *Counter) Tallies() map[Flow]Tally {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return maps.Clone(c.tallies)
 }
 
-// TagRPC notes the method of a call.
+// TagRPC stores the method of a call in its context.
 func (c *Counter) TagRPC(ctx context.Context, info *stats.RPCTagInfo) context.Context {
 	return context.WithValue(ctx, methodKey{}, info.FullMethodName)
 }
 
-// HandleRPC counts payloads.
+// HandleRPC counts sent and received messages.
 func (c *Counter) HandleRPC(ctx context.Context, event stats.RPCStats) {
 	switch event := event.(type) {
 	case *stats.InPayload:
@@ -42,7 +42,7 @@
 	}
 }
 
-// TagConn returns ctx.
+// TagConn returns ctx unchanged.
 func (c *Counter) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
 
 // HandleConn does nothing.
@@ -59,7 +59,7 @@
 	c.tallies[flow] = c.tallies[flow].Add(Tally{Messages: 1, Items: items(payload), Bytes: size})
 }
 
-// items returns how many items a message carries; a message without a list is one.
+// items returns the number of items in a message. A message without a list counts as one item.
 func items(payload any) int {
 	switch message := payload.(type) {
 	case *encoder.EntryMessage:
--- a/local/counter/counter_test.go
+++ b/local/counter/counter_test.go
@@ -11,7 +11,7 @@
 	"oleandertally/local/counter"
 )
 
-// Guards against a count of messages that leaves out what was merged into one.
+// Guards against a count of items that treats a message with several items as one.
 func TestCounter(t *testing.T) {
 	c := &counter.Counter{}
 	link := c.TagRPC(context.Background(), &stats.RPCTagInfo{FullMethodName: "link"})
--- a/local/counter/doc.go
+++ b/local/counter/doc.go
@@ -1,2 +1,2 @@
-// Package counter counts the messages between the processes of a site.
+// Package counter counts the gRPC messages between the processes of a site.
 package counter
--- a/local/counter/flow.go
+++ b/local/counter/flow.go
@@ -1,7 +1,7 @@
 package counter
 
-// Flow is a method and a direction.
+// Flow is one direction of the messages of a gRPC method.
 type Flow struct {
-	Method string // full gRPC name
+	Method string // full name of the gRPC method
 	Sent   bool   // by the process that opened the stream
 }
--- a/local/emulator/doc.go
+++ b/local/emulator/doc.go
@@ -1,3 +1,3 @@
-// Package emulator is a stand-in for an upstream: it announces itself to its agent, runs tasks that
-// only wait, and keeps a log of starts.
+// Package emulator emulates an upstream: it announces itself to its agent, runs tasks that only wait, and logs each start
+// of a task.
 package emulator
--- a/local/emulator/payload.go
+++ b/local/emulator/payload.go
@@ -1,7 +1,7 @@
 package emulator
 
-// Payload is what the stand-in expects in a task.
+// Payload is the payload of a task for an emulated upstream.
 type Payload struct {
-	RunMillis int  // how long the task takes
-	Fail      bool // the task fails at once
+	RunMillis int  // run time of the task
+	Fail      bool // the task fails immediately
 }
--- a/local/emulator/startlog.go
+++ b/local/emulator/startlog.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// StartLog records each call of an upstream, one line a start: time, worker, job, task. It is safe for
-// concurrent use. Out is set before use and may be nil.
+// StartLog counts the starts of tasks on all upstreams and writes one line for each: time, worker, job, task. It is
+// safe for concurrent use. Out is set before use and may be nil.
 type StartLog struct {
 	Out io.Writer
 
@@ -29,7 +29,7 @@
 	}
 }
 
-// Count returns how many tasks started, and how many of them more than once.
+// Count returns the number of started tasks, and of those that started more than once.
 func (l *StartLog) Count() (tasks, repeated int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/local/emulator/upstream.go
+++ b/local/emulator/upstream.go
@@ -17,22 +17,22 @@
 )
 
 const (
-	// announceEvery is well inside the time after which the agent counts the upstream as gone.
-	announceEvery = 3 * time.Second
-	// announceRetry is how soon a failed announcement is repeated: the agent may still be starting.
-	announceRetry = 50 * time.Millisecond
+	// announceInterval is well below the time after which the agent regards the upstream as terminated.
+	announceInterval = 3 * time.Second
+	// announceRetryInterval is short because an announcement fails mostly while the agent is still starting.
+	announceRetryInterval = 50 * time.Millisecond
 )
 
-// Upstream is one stand-in. Fields are set before Run.
+// Upstream is an emulated upstream. Its fields are set before Run.
 type Upstream struct {
 	Worker    string
-	Addr      netip.AddrPort // where it serves tasks
-	AgentAddr netip.AddrPort // where its agent takes announcements
+	Addr      netip.AddrPort // on which it serves tasks
+	AgentAddr netip.AddrPort // on which its agent receives announcements
 	Slots     int
 	Starts    *StartLog
 }
 
-// Run serves until ctx ends, then tells its agent that it leaves.
+// Run serves tasks until ctx ends, then withdraws its announcement from the agent.
 func (u *Upstream) Run(ctx context.Context) error {
 	listener, err := net.Listen("tcp", u.Addr.String())
 	if err != nil {
@@ -43,7 +43,7 @@
 	server := &http.Server{Handler: routes, ReadHeaderTimeout: 5 * time.Second}
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return server.Serve(listener) })
-	group.Go(func() error { return u.announce(ctx) })
+	group.Go(func() error { return u.announceRepeatedly(ctx) })
 	group.Go(func() error {
 		<-ctx.Done()
 		server.Close()
@@ -73,27 +73,27 @@
 	}
 }
 
-func (u *Upstream) announce(ctx context.Context) error {
+func (u *Upstream) announceRepeatedly(ctx context.Context) error {
 	for {
-		next := announceEvery
-		if err := u.tell(ctx, http.MethodPost); err != nil {
-			next = announceRetry
+		next := announceInterval
+		if err := u.sendAnnouncement(ctx, http.MethodPost); err != nil {
+			next = announceRetryInterval
 		}
 		timer := time.NewTimer(next)
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
 			timer.Stop()
-			leaveCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
+			withdrawCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 			defer cancel()
-			// The agent may have stopped first; its record of the upstream lapses by itself.
-			_ = u.tell(leaveCtx, http.MethodDelete)
+			// An error is ignored: the agent may have stopped first, and its record of the upstream expires by itself.
+			_ = u.sendAnnouncement(withdrawCtx, http.MethodDelete)
 			return context.Cause(ctx)
 		}
 	}
 }
 
-func (u *Upstream) tell(ctx context.Context, method string) error {
+func (u *Upstream) sendAnnouncement(ctx context.Context, method string) error {
 	body, err := json.Marshal(listener.Announcement{Addr: u.Addr, Slots: u.Slots})
 	if err != nil {
 		return errors.Wrap(err, "emulator: encode the announcement")
--- a/local/submitter/doc.go
+++ b/local/submitter/doc.go
@@ -1,3 +1,3 @@
-// Package submitter sends the jobs of a recorded file to entries at their times, whether or not earlier
-// answers have come, and keeps what was answered.
+// Package submitter sends the jobs of a trace to entries at their arrival times, without waiting for earlier answers, and
+// collects the answers.
 package submitter
--- a/local/submitter/result.go
+++ b/local/submitter/result.go
@@ -7,12 +7,12 @@
 	"oleandertally/replay/tracer"
 )
 
-// Result is what became of one job.
+// Result is the answer to one job.
 type Result struct {
 	Job      tracer.Job
 	Key      string
 	Response responder.Response
-	Status   int
+	Status   int // of HTTP
 	Took     time.Duration
-	Err      error // the request got no answer
+	Err      error // why there is no answer
 }
--- a/local/submitter/submitter.go
+++ b/local/submitter/submitter.go
@@ -17,21 +17,21 @@
 	"oleandertally/replay/tracer"
 )
 
-// Submitter sends jobs. Fields are set before use.
+// Submitter submits jobs to entries. Its fields are set before use.
 type Submitter struct {
 	Entries []netip.AddrPort
 	Client  *http.Client
 	Prefix  string // of the idempotency keys
 }
 
-// Replay sends every job of the trace at its time and waits for all answers.
+// Replay submits every job of a trace at its arrival time and waits for all answers.
 func (s *Submitter) Replay(ctx context.Context, trace tracer.Trace) ([]Result, error) {
 	results := make([]Result, len(trace.Jobs))
-	began := time.Now()
+	startedAt := time.Now()
 	group, ctx := errgroup.WithContext(ctx)
 	for i, job := range trace.Jobs {
 		group.Go(func() error {
-			timer := time.NewTimer(time.Until(began.Add(job.At())))
+			timer := time.NewTimer(time.Until(startedAt.Add(job.At())))
 			defer timer.Stop()
 			select {
 			case <-timer.C:
@@ -45,7 +45,7 @@
 	return results, group.Wait()
 }
 
-// Submit sends one job to the entry that it names.
+// Submit submits one job to the entry that the job names.
 func (s *Submitter) Submit(ctx context.Context, job tracer.Job, key string) Result {
 	result := Result{Job: job, Key: key}
 	body, err := json.Marshal(NewSubmission(job))
@@ -59,7 +59,7 @@
 	return result
 }
 
-// Post sends a body to an entry.
+// Post sends a request body to an entry and returns the answer and its HTTP status.
 func (s *Submitter) Post(ctx context.Context, entry int, key string, body []byte) (responder.Response, int, error) {
 	var response responder.Response
 	url := "http://" + s.Entries[entry%len(s.Entries)].String() + "/v1/jobs"
@@ -78,7 +78,7 @@
 	return response, reply.StatusCode, errors.Wrap(err, "submitter: decode the answer")
 }
 
-// NewSubmission turns a job of a trace into the body of a request.
+// NewSubmission converts a job of a trace to a request.
 func NewSubmission(job tracer.Job) responder.Submission {
 	submission := responder.Submission{Team: job.Team, Profile: job.Profile, TimeLeft: job.TimeLeft().String()}
 	for i := range job.RunMillis {
--- a/local/submitter/warm.go
+++ b/local/submitter/warmup.go
@@ -10,8 +10,8 @@
 	"oleandertally/replay/tracer"
 )
 
-// Warm sends jobs that are as wide as the site until every entry has had a task run by every worker:
-// before that, an entry refuses truly that it has no worker. It returns the keys that it used.
+// WarmUp submits copies of a job, which should have a task for each slot of the site, until every worker has run a task of
+// every entry. Before that, an entry may rightly refuse jobs because it has no worker. It returns the keys that it used.
 func (s *Submitter) WarmUp(ctx context.Context, job tracer.Job, workers int) ([]string, error) {
 	var keys []string
 	for entry := range s.Entries {
@@ -26,7 +26,7 @@
 			for _, task := range s.Submit(ctx, job, key).Response.Results {
 				var ran struct{ Worker string }
 				if err := json.Unmarshal(task.Result, &ran); err != nil {
-					return keys, errors.Wrap(err, "submitter: the upstream's result")
+					return keys, errors.Wrap(err, "submitter: decode the upstream's result")
 				}
 				seen[ran.Worker] = true
 			}
