--- a/local/measure_test.go
+++ b/local/measure_test.go
@@ -30,9 +30,9 @@
 // Guards against waits computed from events of two processes, whose clocks differ, or of two tasks.
 func TestWaits(t *testing.T) {
 	job := specifier.NewJobID("web", "a")
-	nine := time.Date(2026, 5, 4, 9, 0, 0, 0, time.UTC)
+	startedAt := time.Date(2026, 5, 4, 9, 0, 0, 0, time.UTC)
 	at := func(process string, millis int, kind recorder.Kind, task string) recorder.Event {
-		return recorder.Event{At: nine.Add(time.Duration(millis) * time.Millisecond), Process: process, Kind: kind, Job: job, Task: task}
+		return recorder.Event{At: startedAt.Add(time.Duration(millis) * time.Millisecond), Process: process, Kind: kind, Job: job, Task: task}
 	}
 	w := newWaits([]recorder.Event{
 		at("entry-1/1", 0, recorder.JobAccepted, ""),
