--- a/replay/reporter/summary.go
+++ b/replay/reporter/summary.go
@@ -12,20 +12,20 @@
 	"oleandertally/replay/tracer"
 )
 
-// Summary is one row of a table. Ratios are response over ideal of the completed jobs.
+// Summary is one row of a table. Ratios are the response times of completed jobs over their ideal.
 type Summary struct {
-	Variant            string
-	AllMedian, AllHigh float64 // p50 and p99 of all jobs
-	ShortMedian        float64
-	ShortHigh          float64 // p99 of jobs of 1 to 8 tasks
-	WorstWide          float64 // of jobs of more than 60 tasks
-	Goodput            float64 // work answered in time over the lesser of demand and capacity
-	Blocking           float64 // ShortHigh over that without the long jobs; 0: not measured
-	Lost               int     // most tasks lost to sick workers by one entry
-	Right, Wrong       int     // ejections of sick and of healthy workers
-	Messages           float64 // for each task
-	Refused, Failed    int     // jobs; Failed includes those that timed out
-	Teams              string  // share of the slots that each team used
+	Variant                          string
+	AllMedian, AllP99                float64 // p50 and p99 of all jobs
+	ShortMedian                      float64
+	ShortP99                         float64 // p99 of jobs of 1 to 8 tasks
+	WorstWide                        float64 // of jobs of more than 60 tasks
+	Goodput                          float64 // work answered in time over the smaller of demand and capacity
+	Blocking                         float64 // ShortP99 over its value without the long jobs; 0: not measured
+	MaxLostTasks                     int     // tasks of one entry that failed on unhealthy workers, maximum over the entries
+	CorrectEjections, WrongEjections int     // ejections of unhealthy and of healthy workers
+	MessagesPerTask                  float64
+	Refused, Failed                  int    // jobs; Failed includes those that timed out
+	Teams                            string // share of the slots that each team used
 }
 
 const (
@@ -58,39 +58,40 @@
 			s.WorstWide = max(s.WorstWide, ratio)
 		}
 	}
-	s.AllMedian, s.AllHigh = quantile(all, 0.5), quantile(all, 0.99)
-	s.ShortMedian, s.ShortHigh = quantile(short, 0.5), quantile(short, 0.99)
+	s.AllMedian, s.AllP99 = quantile(all, 0.5), quantile(all, 0.99)
+	s.ShortMedian, s.ShortP99 = quantile(short, 0.5), quantile(short, 0.99)
 	s.Goodput = goodput(trace, report)
-	for _, lost := range report.Lost {
-		s.Lost = max(s.Lost, lost)
+	for _, lost := range report.LostTasks {
+		s.MaxLostTasks = max(s.MaxLostTasks, lost)
 	}
-	s.Right, s.Wrong = ejections(trace, report)
+	s.CorrectEjections, s.WrongEjections = ejections(trace, report)
 	if report.Tasks > 0 {
-		s.Messages = float64(report.Messages) / float64(report.Tasks)
+		s.MessagesPerTask = float64(report.Messages) / float64(report.Tasks)
 	}
 	s.Teams = teamShares(trace, report)
 	return s
 }
 
-// teamShares lists, by name, the part of the capacity that each team used.
+// teamShares lists the share of the capacity that each team used, ordered by name.
 func teamShares(trace tracer.Trace, report *player.Report) string {
 	capacity := (trace.Length() - trace.Length()/6) * tracer.Slots
 	var parts []string
-	for _, name := range slices.Sorted(maps.Keys(report.TeamRan)) {
-		parts = append(parts, fmt.Sprintf("%s %.0f%%", name, 100*float64(report.TeamRan[name])/float64(capacity)))
+	for _, name := range slices.Sorted(maps.Keys(report.TeamSlotTime)) {
+		parts = append(parts, fmt.Sprintf("%s %.0f%%", name, 100*float64(report.TeamSlotTime[name])/float64(capacity)))
 	}
 	return strings.Join(parts, ", ")
 }
 
-// Batch is the profile of long jobs in the traces. Its jobs are not short work, however few tasks they have.
+// Batch is the profile of the long jobs in the traces. They never count as short, even with few tasks.
 const Batch = "batch"
 
-// goodput is the work answered in time over the lesser of demand and capacity. Below capacity it counts the
-// jobs that arrived in the window, since how long a run reaches beyond the window says nothing there.
+// goodput returns the work answered in time over the smaller of demand and capacity. At or above capacity that is the
+// useful slot time in the window. Below capacity whole jobs that arrived in the window are counted, because there the part
+// of a run that lies outside the window does not matter.
 func goodput(trace tracer.Trace, report *player.Report) float64 {
 	start := trace.Length() / 6
 	if trace.Demand >= 1 {
-		return float64(report.Useful) / float64((trace.Length()-start)*tracer.Slots)
+		return float64(report.UsefulSlotTime) / float64((trace.Length()-start)*tracer.Slots)
 	}
 	var offered, answered time.Duration
 	for _, record := range report.Records {
@@ -105,10 +106,10 @@
 	return float64(answered) / float64(offered)
 }
 
-// ejections counts how many ejections hit a worker with a fault and how many another.
+// ejections counts the ejections of unhealthy workers and of healthy ones.
 func ejections(trace tracer.Trace, report *player.Report) (right, wrong int) {
 	for name, count := range report.Ejected {
-		if sick(trace, name) {
+		if isUnhealthy(trace, name) {
 			right += count
 		} else {
 			wrong += count
@@ -117,7 +118,7 @@
 	return right, wrong
 }
 
-// quantile returns the smallest value that is at least as large as a share of the values.
+// quantile returns the smallest value such that the given share of the values does not exceed it.
 func quantile(values []float64, share float64) float64 {
 	if len(values) == 0 {
 		return math.NaN()
