--- a/dispatch/limiter/lessor.go
+++ b/dispatch/limiter/lessor.go
@@ -16,7 +16,7 @@
 // use.
 type Lessor[E cmp.Ordered] struct {
 	Slots         float64
-	LeaseDuration time.Duration // of a lease
+	LeaseDuration time.Duration
 	teams         map[string]float64
 	grants        map[E]grant
 }
@@ -41,7 +41,7 @@
 	if l.grants == nil {
 		l.grants = make(map[E]grant)
 	}
-	maps.DeleteFunc(l.grants, func(_ E, h grant) bool { return now.After(h.lease.Until) })
+	maps.DeleteFunc(l.grants, func(_ E, g grant) bool { return now.After(g.lease.Until) })
 	l.grants[entry] = grant{need: need, lease: Lease{Until: now.Add(l.LeaseDuration)}}
 	parts := l.divide(entry)
 	left := l.Slots
--- a/dispatch/orderer/queue.go
+++ b/dispatch/orderer/queue.go
@@ -162,7 +162,7 @@
 }
 
 func (q *Queue) contains(key specifier.TaskKey) bool {
-	return slices.ContainsFunc(q.waiting, func(e QueuedTask) bool { return e.TaskKey() == key }) ||
+	return slices.ContainsFunc(q.waiting, func(t QueuedTask) bool { return t.TaskKey() == key }) ||
 		slices.ContainsFunc(q.running, func(r running) bool { return r.task.TaskKey() == key })
 }
 
--- a/dispatch/orderer/queuedtask.go
+++ b/dispatch/orderer/queuedtask.go
@@ -17,6 +17,6 @@
 }
 
 // TaskKey returns the identity of the task.
-func (e QueuedTask) TaskKey() specifier.TaskKey {
-	return specifier.TaskKey{Job: e.Key.Job, Task: e.Key.Task}
+func (t QueuedTask) TaskKey() specifier.TaskKey {
+	return specifier.TaskKey{Job: t.Key.Job, Task: t.Key.Task}
 }
--- a/dispatch/orderer/reporter.go
+++ b/dispatch/orderer/reporter.go
@@ -74,7 +74,7 @@
 	for r.unpaid <= maxReportBurst-1 {
 		oldest := -1
 		for i, each := range r.entries {
-			if isMisinformed(each.load, load, now.Sub(each.at) >= quietDelay) && (oldest < 0 || each.at.Before(r.entries[oldest].at)) {
+			if isOutdated(each.load, load, now.Sub(each.at) >= quietDelay) && (oldest < 0 || each.at.Before(r.entries[oldest].at)) {
 				oldest = i
 			}
 		}
@@ -95,17 +95,17 @@
 		return next
 	}
 	for _, each := range r.entries {
-		if at := each.at.Add(quietDelay); isMisinformed(each.load, load, true) && (next.IsZero() || at.Before(next)) {
+		if at := each.at.Add(quietDelay); isOutdated(each.load, load, true) && (next.IsZero() || at.Before(next)) {
 			next = at
 		}
 	}
 	return next
 }
 
-// isMisinformed reports whether an entry that was last sent the known load has a wrong view of the agent: the entry assumes
+// isOutdated reports whether an entry that was last sent the known load has a wrong view of the agent: the entry assumes
 // that no slot is free although some are, that some are free although tasks wait, or, if quiet, that several are free
 // although none is.
-func isMisinformed(known, load specifier.Load, quiet bool) bool {
+func isOutdated(known, load specifier.Load, quiet bool) bool {
 	free, assumed := load.Slots-load.Running-load.Queued, known.Slots-known.Running-known.Queued
 	return free > 0 && assumed <= 0 || free < 0 && assumed > 0 || free == 0 && assumed > 1 && quiet
 }
--- a/dispatch/scheduler/engine.go
+++ b/dispatch/scheduler/engine.go
@@ -111,7 +111,7 @@
 	e.abandon(job)
 	for len(job.sent) > 0 {
 		last := job.sent[len(job.sent)-1]
-		e.release(last.agent, last.item.Key)
+		e.unassign(last.agent, last.item.Key)
 		e.recycle(last)
 	}
 	delete(e.jobs, id)
--- a/dispatch/scheduler/membership.go
+++ b/dispatch/scheduler/membership.go
@@ -64,7 +64,7 @@
 	delete(e.agents, removed.member.Identity)
 	lost := assignmentsOf(removed)
 	for _, each := range lost {
-		if task, ok := e.release(removed, each.Item.Key); ok {
+		if task, ok := e.unassign(removed, each.Item.Key); ok {
 			e.recycle(task)
 		}
 	}
--- a/dispatch/scheduler/return.go
+++ b/dispatch/scheduler/response.go
@@ -13,7 +13,7 @@
 	if agent == nil {
 		return
 	}
-	task, found := e.release(agent, key)
+	task, found := e.unassign(agent, key)
 	if !found {
 		return
 	}
@@ -33,7 +33,7 @@
 		return
 	}
 	agent.refusedUntil = now.Add(refusalDelay)
-	if task, ok := e.release(agent, key); ok {
+	if task, ok := e.unassign(agent, key); ok {
 		e.requeue(now, task)
 	}
 	e.updateIndex(now, agent)
@@ -71,8 +71,8 @@
 	}
 }
 
-// release removes a task from its agent and updates the counts.
-func (e *Engine[P, T]) release(agent *agent, key specifier.TaskKey) (*task, bool) {
+// unassign removes a task from its agent and updates the counts.
+func (e *Engine[P, T]) unassign(agent *agent, key specifier.TaskKey) (*task, bool) {
 	task, ok := agent.assigned[key]
 	if !ok {
 		return nil, false
