--- a/agent/executor/assignment.go
+++ b/agent/executor/assignment.go
@@ -66,8 +66,8 @@
 	if x.streams[e.Entry] != e.Stream || job == nil || e.Epoch < job.epoch {
 		return
 	}
-	for _, entry := range x.queue.Remove(e.Job) {
-		x.dropTask(entry.TaskKey(), Withdraw)
+	for _, queued := range x.queue.Remove(e.Job) {
+		x.dropTask(queued.TaskKey(), Withdraw)
 	}
 }
 
--- a/agent/executor/executor.go
+++ b/agent/executor/executor.go
@@ -22,7 +22,7 @@
 	jobs          map[specifier.JobID]*jobRecord
 	queue         orderer.Queue
 	classifier    classifier.Classifier
-	reports       orderer.Reporter[specifier.Identity]
+	loadReporter  orderer.Reporter[specifier.Identity]
 	profiles      map[string]specifier.Profile
 	expiries      container.Heap[expiry]
 	streams       map[specifier.Identity]uint64
@@ -54,14 +54,14 @@
 	switch event := event.(type) {
 	case Connected:
 		x.streams[event.Entry] = event.Stream
-		x.reports.Add(now, event.Entry, x.Load())
+		x.loadReporter.Add(now, event.Entry, x.Load())
 		x.departure.connected(event.Entry)
 		x.actions = append(x.actions, SendLoad{Entry: event.Entry, Load: x.Load()})
 		x.requestRelease(event.Entry)
 	case Disconnected:
 		if x.streams[event.Entry] == event.Stream {
 			delete(x.streams, event.Entry)
-			x.reports.Remove(event.Entry)
+			x.loadReporter.Remove(event.Entry)
 			x.departure.disconnected(event.Entry)
 		}
 	case Assigned:
@@ -140,7 +140,7 @@
 			consider(at)
 		}
 	}
-	if at := x.reports.Next(x.Load()); !at.IsZero() {
+	if at := x.loadReporter.Next(x.Load()); !at.IsZero() {
 		consider(at)
 	}
 	if x.slots > 0 {
--- a/agent/executor/fencing.go
+++ b/agent/executor/fencing.go
@@ -38,7 +38,7 @@
 
 // dropQueued removes the queued tasks of a job whose owner has been replaced, without a refusal to the former owner.
 func (x *Executor) dropQueued(id specifier.JobID) {
-	for _, entry := range x.queue.Remove(id) {
-		x.jobs[id].remove(entry.Key.Task)
+	for _, queued := range x.queue.Remove(id) {
+		x.jobs[id].remove(queued.Key.Task)
 	}
 }
--- a/agent/executor/running.go
+++ b/agent/executor/running.go
@@ -35,7 +35,7 @@
 	}
 	task.attempt = nil
 	x.recordEvent(recorder.TaskEnded, e.Key.Job, task, job.owner.Name, e.Detail)
-	x.reports.TaskEnded()
+	x.loadReporter.TaskEnded()
 	x.start(now) // before reportDone, so that the load in the result includes the task that fills the free slot
 	x.reportDone(e.Key.Job, job, task)
 }
@@ -49,12 +49,12 @@
 	for _, late := range x.queue.Expire(now) {
 		x.dropTask(late.TaskKey(), Late)
 	}
-	for _, entry := range x.queue.Start(now) {
-		job := x.jobs[entry.Key.Job]
-		task := job.find(entry.Key.Task)
+	for _, queued := range x.queue.Start(now) {
+		job := x.jobs[queued.Key.Job]
+		task := job.find(queued.Key.Task)
 		task.state, task.attempt.started, task.waitTime = specifier.TaskRunning, now, now.Sub(task.attempt.queued)
-		x.recordEvent(recorder.TaskStarted, entry.Key.Job, task, job.owner.Name, "")
-		x.actions = append(x.actions, Run{Addr: x.upstream, Key: entry.TaskKey(), Epoch: task.epoch, Payload: task.attempt.payload, Deadline: task.attempt.deadline})
+		x.recordEvent(recorder.TaskStarted, queued.Key.Job, task, job.owner.Name, "")
+		x.actions = append(x.actions, Run{Addr: x.upstream, Key: queued.TaskKey(), Epoch: task.epoch, Payload: task.attempt.payload, Deadline: task.attempt.deadline})
 		task.attempt.payload = nil
 	}
 }
@@ -67,7 +67,7 @@
 // reportLoad sends the load to the entries that know a load which is too far off.
 func (x *Executor) reportLoad(now time.Time) {
 	load := x.Load()
-	for _, entry := range x.reports.Due(now, load) {
+	for _, entry := range x.loadReporter.Due(now, load) {
 		x.actions = append(x.actions, SendLoad{Entry: entry, Load: load})
 	}
 }
--- a/agent/executor/upstream.go
+++ b/agent/executor/upstream.go
@@ -37,8 +37,8 @@
 }
 
 func (x *Executor) refuseQueued(cause Cause) {
-	for _, entry := range x.queue.Clear() {
-		x.dropTask(entry.TaskKey(), cause)
+	for _, queued := range x.queue.Clear() {
+		x.dropTask(queued.TaskKey(), cause)
 	}
 }
 
--- a/agent/leaseholder/leaseholder_test.go
+++ b/agent/leaseholder/leaseholder_test.go
@@ -141,5 +141,5 @@
 	f.workerStart = f.now
 	f.step(PollResult{Answer: f.answer(), Token: before, EndsComplete: true})
 	must.Greater(t, before, f.holder.workerToken())
-	must.False(t, f.holder.settled())
+	must.False(t, f.holder.allRunsKnown())
 }
--- a/agent/leaseholder/polling.go
+++ b/agent/leaseholder/polling.go
@@ -44,7 +44,7 @@
 		return
 	}
 	l.answeredAt, l.failedPolls = l.now, 0
-	becameSettled := result.Token == l.workerToken() && l.polledToken != result.Token
+	firstWithToken := result.Token == l.workerToken() && l.polledToken != result.Token
 	l.polledToken = max(l.polledToken, result.Token)
 	newEnds := l.addEnds(result.Ends)
 	// The ends are reported before the list of runs: a run that is not listed and has no end would be started again.
@@ -52,7 +52,7 @@
 		l.report(specifier.LeaseReport{Ends: newEnds})
 	}
 	l.compareRuns(result)
-	if becameSettled {
+	if firstWithToken {
 		l.renewIfConnected()
 	}
 	if len(l.ends) > 0 && !result.Immediate {
--- a/agent/leaseholder/session.go
+++ b/agent/leaseholder/session.go
@@ -36,7 +36,7 @@
 		return
 	}
 	report.Agent, report.Incarnation, report.LastOrder, report.Leaving = l.Name, l.Incarnation, l.orders, l.leaving
-	report.AllRunsKnown, report.Token = l.settled(), l.token
+	report.AllRunsKnown, report.Token = l.allRunsKnown(), l.token
 	if l.workerChanged || report.RunsComplete {
 		report.Worker = l.worker
 		l.workerChanged = false
@@ -98,9 +98,9 @@
 	return l.token*tokenFactor + min(l.incarnations, tokenFactor-1)
 }
 
-// settled reports whether every run that may exist at the worker is in the agent's list. Without an answer of the worker,
+// allRunsKnown reports whether every run that may exist at the worker is in the agent's list. Without an answer of the worker,
 // this is certain once every lease that this process or an earlier one requested has ended.
-func (l *LeaseHolder) settled() bool {
+func (l *LeaseHolder) allRunsKnown() bool {
 	if l.token > 0 && l.polledToken == l.workerToken() {
 		return true
 	}
--- a/agent/leaserunner/runner.go
+++ b/agent/leaserunner/runner.go
@@ -21,8 +21,8 @@
 
 const (
 	mailboxSize = 1024
-	// streamTimeout is longer than several renewal intervals; the leading controller answers each renewal.
-	streamTimeout = 400 * time.Millisecond
+	// idleTimeout is longer than several renewal intervals; the leading controller answers each renewal.
+	idleTimeout = 400 * time.Millisecond
 	// startTimeout and stopTimeout are for calls that a worker answers without waiting.
 	startTimeout = 50 * time.Millisecond
 	stopTimeout  = 50 * time.Millisecond
@@ -60,7 +60,7 @@
 	}
 	r.mailbox = looper.NewMailbox[event](mailboxSize)
 	r.locator = &locator.Locator[*encoder.QueueOrder, *encoder.QueueReport]{
-		Seeds: r.Seeds, Credentials: r.Credentials, IdleTimeout: streamTimeout,
+		Seeds: r.Seeds, Credentials: r.Credentials, IdleTimeout: idleTimeout,
 		Open: func(ctx context.Context, conn *grpc.ClientConn) (locator.Stream[*encoder.QueueOrder, *encoder.QueueReport], error) {
 			return encoder.NewQueueKeeperClient(conn).Attend(ctx)
 		},
