--- a/entry/coordinator/collection.go
+++ b/entry/coordinator/collection.go
@@ -74,19 +74,19 @@
 			c.Scheduler.TaskEnded(now, e.Agent, specifier.TaskKey{Job: e.Job, Task: report.Task}, true, 0)
 			job.setResult(i, report.Body)
 		case specifier.TaskBroken:
-			job.slots[i].agent = e.Agent
+			job.tasks[i].agent = e.Agent
 			c.failTask(now, job, report.Task, e.Agent, report.Detail)
 			return job.resultsOnly
 		default:
-			job.slots[i].agent = e.Agent
+			job.tasks[i].agent = e.Agent
 		}
 	}
-	for i := range job.slots {
+	for i := range job.tasks {
 		// A task that was sent before the fence and that the agent does not list never arrived. A task that
 		// was sent after the fence may be in transit: treating it as lost would start it twice.
-		if job.slots[i].agent == e.Agent && job.slots[i].mark < e.Mark && !listed[job.slots[i].result.Task] {
-			job.slots[i].agent = specifier.Identity{}
-			c.Scheduler.TaskRefused(now, e.Agent, specifier.TaskKey{Job: e.Job, Task: job.slots[i].result.Task})
+		if job.tasks[i].agent == e.Agent && job.tasks[i].mark < e.Mark && !listed[job.tasks[i].result.Task] {
+			job.tasks[i].agent = specifier.Identity{}
+			c.Scheduler.TaskRefused(now, e.Agent, specifier.TaskKey{Job: e.Job, Task: job.tasks[i].result.Task})
 		}
 	}
 	return true
@@ -117,5 +117,5 @@
 
 // hasUnknownTask reports whether some task is neither done nor known to any agent.
 func (c *Coordinator) hasUnknownTask(job *job) bool {
-	return slices.ContainsFunc(job.slots, func(s slot) bool { return !s.done && s.agent.IsZero() })
+	return slices.ContainsFunc(job.tasks, func(t jobTask) bool { return !t.done && t.agent.IsZero() })
 }
--- a/entry/coordinator/coordinator.go
+++ b/entry/coordinator/coordinator.go
@@ -162,7 +162,7 @@
 		}
 		i := job.index[assigned.Item.Key.Task]
 		c.lastMark++
-		job.slots[i].agent, job.slots[i].mark = assigned.Agent, c.lastMark
+		job.tasks[i].agent, job.tasks[i].mark = assigned.Agent, c.lastMark
 		c.recordEvent(recorder.TaskAssigned, job, assigned.Item.Key.Task, assigned.Agent.Name, "")
 		c.actions = append(c.actions, Assign{Agent: assigned.Agent, Key: assigned.Item.Key, Epoch: job.epoch, Payload: job.spec.Tasks[i].Payload,
 			Order: assigned.Item.Order.At, Deadline: job.spec.Deadline, Profile: job.spec.Profile})
@@ -205,9 +205,9 @@
 			delete(c.jobs, job.spec.ID)
 		}
 	case answered:
-		if !job.retainUntil.After(now) && job.recorded {
+		if !job.keepUntil.After(now) && job.recorded {
 			delete(c.jobs, job.spec.ID)
-		} else if !job.retainUntil.After(now) {
+		} else if !job.keepUntil.After(now) {
 			c.setTimer(job, now.Add(answerRetention))
 		}
 	}
--- a/entry/coordinator/decision.go
+++ b/entry/coordinator/decision.go
@@ -142,7 +142,7 @@
 		}
 		c.answerAll(now, job, job.answer)
 		c.markRecorded(job)
-		job.retainUntil = now.Add(answerRetention)
-		c.setTimer(job, job.retainUntil)
+		job.keepUntil = now.Add(answerRetention)
+		c.setTimer(job, job.keepUntil)
 	}
 }
--- a/entry/coordinator/job.go
+++ b/entry/coordinator/job.go
@@ -23,9 +23,9 @@
 	waiters        []waiting
 	cancelled      bool
 
-	index          map[string]int // task id to slot
-	slots          []slot
-	remaining      int                 // number of slots that are not done
+	index          map[string]int // task ID to index in tasks
+	tasks          []jobTask
+	remaining      int                 // number of tasks that are not done
 	maybeAnswered  bool                // by a former owner, with Complete
 	recordMissing  bool                // an agent departed whose record can't be obtained
 	finished       *specifier.Decision // set while the entry asks the owner of a finished job for its answer
@@ -33,20 +33,20 @@
 	memberVersion  uint64              // membership version of the decision; collecting waits for it
 	awaitedReports map[specifier.Identity]bool
 
-	answer      specifier.Answer // while recording, the answer to be given; once answered, the answer that was given
-	recorded    bool
-	retryAt     time.Time
-	attempts    int
-	recordBy    time.Time
-	retainUntil time.Time
+	answer    specifier.Answer // while recording, the answer to be given; once answered, the answer that was given
+	recorded  bool
+	retryAt   time.Time
+	attempts  int
+	recordBy  time.Time
+	keepUntil time.Time
 }
 
 func newJob(now time.Time, spec specifier.Job, digest specifier.Digest) *job {
 	j := &job{spec: spec, digest: digest, arrival: now, undecidedSince: now, index: make(map[string]int, len(spec.Tasks)),
-		slots: make([]slot, len(spec.Tasks)), remaining: len(spec.Tasks)}
+		tasks: make([]jobTask, len(spec.Tasks)), remaining: len(spec.Tasks)}
 	for i, task := range spec.Tasks {
 		j.index[task.ID] = i
-		j.slots[i].result.Task = task.ID
+		j.tasks[i].result.Task = task.ID
 	}
 	return j
 }
@@ -64,38 +64,38 @@
 
 // mayHaveRun reports whether a task of the job may have started.
 func (j *job) mayHaveRun() bool {
-	return j.recordMissing || j.remaining < len(j.slots) ||
-		slices.ContainsFunc(j.slots, func(s slot) bool { return !s.agent.IsZero() })
+	return j.recordMissing || j.remaining < len(j.tasks) ||
+		slices.ContainsFunc(j.tasks, func(t jobTask) bool { return !t.agent.IsZero() })
 }
 
 // assignedAgents returns the agents to which tasks of the job are assigned, sorted.
 func (j *job) assignedAgents() []specifier.Identity {
 	var agents []specifier.Identity
-	for _, slot := range j.slots {
-		if !slot.agent.IsZero() && !slices.Contains(agents, slot.agent) {
-			agents = append(agents, slot.agent)
+	for _, task := range j.tasks {
+		if !task.agent.IsZero() && !slices.Contains(agents, task.agent) {
+			agents = append(agents, task.agent)
 		}
 	}
 	slices.SortFunc(agents, specifier.Identity.Compare)
 	return agents
 }
 
-// completeAnswer returns the Complete answer of a job whose slots are all done.
+// completeAnswer returns the Complete answer of a job whose tasks are all done.
 func (j *job) completeAnswer() specifier.Answer {
-	results := make([]specifier.Result, len(j.slots))
-	for i, slot := range j.slots {
-		results[i] = slot.result
+	results := make([]specifier.Result, len(j.tasks))
+	for i, task := range j.tasks {
+		results[i] = task.result
 	}
 	return specifier.Answer{Outcome: specifier.Complete, Results: results}
 }
 
-// setResult sets the result of a slot. Later results of the slot are ignored.
+// setResult sets the result of a task. Later results of the task are ignored.
 func (j *job) setResult(i int, body []byte) {
-	j.slots[i].agent = specifier.Identity{}
-	if j.slots[i].done {
+	j.tasks[i].agent = specifier.Identity{}
+	if j.tasks[i].done {
 		return
 	}
-	j.slots[i].done = true
-	j.slots[i].result.Body = body
+	j.tasks[i].done = true
+	j.tasks[i].result.Body = body
 	j.remaining--
 }
--- a/entry/coordinator/leave.go
+++ b/entry/coordinator/leave.go
@@ -45,7 +45,7 @@
 func (c *Coordinator) dependsOn(agent specifier.Identity) bool {
 	for _, job := range c.jobs {
 		if (job.phase == running || job.phase == collecting) &&
-			(job.awaitedReports[agent] || slices.ContainsFunc(job.slots, func(s slot) bool { return s.agent == agent })) {
+			(job.awaitedReports[agent] || slices.ContainsFunc(job.tasks, func(t jobTask) bool { return t.agent == agent })) {
 			return true
 		}
 	}
--- a/entry/coordinator/membership.go
+++ b/entry/coordinator/membership.go
@@ -90,8 +90,8 @@
 		return
 	}
 	var items []scheduler.Item
-	for i := range job.slots {
-		if job.slots[i].agent == agent {
+	for i := range job.tasks {
+		if job.tasks[i].agent == agent {
 			items = append(items, c.item(job, i))
 		}
 	}
@@ -102,9 +102,9 @@
 		c.fail(now, job, specifier.WorkerLost, "worker "+agent.Name+" was lost with a task that may have run")
 		return
 	}
-	for i := range job.slots {
-		if job.slots[i].agent == agent {
-			job.slots[i].agent = specifier.Identity{}
+	for i := range job.tasks {
+		if job.tasks[i].agent == agent {
+			job.tasks[i].agent = specifier.Identity{}
 		}
 	}
 	job.recordMissing = true
--- a/entry/coordinator/run.go
+++ b/entry/coordinator/run.go
@@ -13,8 +13,8 @@
 func (c *Coordinator) run(now time.Time, job *job) {
 	job.phase = running
 	var items []scheduler.Item
-	for i, slot := range job.slots {
-		if !slot.done && slot.agent.IsZero() {
+	for i, task := range job.tasks {
+		if !task.done && task.agent.IsZero() {
 			items = append(items, c.item(job, i))
 		}
 	}
@@ -24,7 +24,7 @@
 
 func (c *Coordinator) item(job *job, i int) scheduler.Item {
 	key := specifier.TaskKey{Job: job.spec.ID, Task: job.spec.Tasks[i].ID}
-	return scheduler.Item{Key: key, Order: orderer.NewKey(job.arrival, len(job.slots), job.profile.Priority, key),
+	return scheduler.Item{Key: key, Order: orderer.NewKey(job.arrival, len(job.tasks), job.profile.Priority, key),
 		Service: job.profile.Service, Profile: job.profile.Name, Team: job.spec.Team, Deadline: job.spec.Deadline}
 }
 
@@ -34,8 +34,8 @@
 	}
 	c.answerAll(now, job, job.completeAnswer())
 	job.recorded = false
-	job.retainUntil = now.Add(answerRetention)
-	c.setTimer(job, job.retainUntil)
+	job.keepUntil = now.Add(answerRetention)
+	c.setTimer(job, job.keepUntil)
 	// The answer need not wait for its record: the agents keep the same results, so an entry that
 	// takes over the job gives the same answer.
 	c.actions = append(c.actions, Propose{specifier.FinishJob{Job: job.spec.ID, Owner: job.owner, Epoch: job.epoch,
@@ -73,12 +73,12 @@
 		return
 	}
 	i, ok := job.index[e.Key.Task]
-	if !ok || job.slots[i].done {
+	if !ok || job.tasks[i].done {
 		return
 	}
 	c.recordEvent(recorder.TaskReturned, job, e.Key.Task, e.Agent.Name, e.Detail)
 	if e.Broken {
-		job.slots[i].agent = e.Agent
+		job.tasks[i].agent = e.Agent
 		c.failTask(now, job, e.Key.Task, e.Agent, e.Detail)
 		return
 	}
@@ -100,11 +100,11 @@
 		return
 	}
 	i, ok := job.index[e.Key.Task]
-	if !ok || job.slots[i].agent != e.Agent {
+	if !ok || job.tasks[i].agent != e.Agent {
 		return
 	}
 	c.recordEvent(recorder.TaskReturned, job, e.Key.Task, e.Agent.Name, "refused: "+e.Cause)
-	job.slots[i].agent = specifier.Identity{}
+	job.tasks[i].agent = specifier.Identity{}
 	if e.Cause == supersededCause {
 		c.superseded(now, job)
 		return
@@ -118,8 +118,8 @@
 // superseded stops a job that another entry may have taken over, and proposes the job again to find its owner.
 func (c *Coordinator) superseded(now time.Time, job *job) {
 	c.Scheduler.RemoveJob(job.spec.ID)
-	for i := range job.slots {
-		job.slots[i].agent = specifier.Identity{}
+	for i := range job.tasks {
+		job.tasks[i].agent = specifier.Identity{}
 	}
 	c.retry(now, job)
 }
--- a/entry/requester/requester.go
+++ b/entry/requester/requester.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	mailboxSize    = 4096
-	silenceTimeout = 400 * time.Millisecond
+	mailboxSize = 4096
+	idleTimeout = 400 * time.Millisecond
 )
 
 // Requester calls the leading controller. Exported fields are set before Run.
@@ -36,7 +36,7 @@
 func (r *Requester) Open() {
 	r.mailbox = looper.NewMailbox[event](mailboxSize)
 	r.locator = &locator.Locator[*encoder.QueueReplies, *encoder.QueueCalls]{
-		Seeds: r.Seeds, Credentials: r.Credentials, IdleTimeout: silenceTimeout,
+		Seeds: r.Seeds, Credentials: r.Credentials, IdleTimeout: idleTimeout,
 		Open: func(ctx context.Context, conn *grpc.ClientConn) (locator.Stream[*encoder.QueueReplies, *encoder.QueueCalls], error) {
 			return encoder.NewQueueKeeperClient(conn).Call(ctx)
 		},
