--- a/dispatch/limiter/claim.go
+++ b/dispatch/limiter/claim.go
@@ -4,7 +4,7 @@
 type Claim struct {
 	Share     float64 // weight of the team
 	Need      float64 // slots that the team could use
-	Allocated float64 // slots, set by Fill
+	Allocated float64 // slots, set by Allocate
 }
 
 // Allocate divides slots by weighted max-min fairness: each claim is allocated its need or its weighted part, whichever
--- a/dispatch/limiter/limiter.go
+++ b/dispatch/limiter/limiter.go
@@ -15,7 +15,7 @@
 type Limiter struct {
 	teams  map[string]*team
 	order  []*team // by name
-	claims []Claim // reused
+	claims []Claim // buffer of allocate
 	lease  Lease
 }
 
--- a/dispatch/orderer/reporter.go
+++ b/dispatch/orderer/reporter.go
@@ -7,8 +7,8 @@
 )
 
 // Reporter decides when an agent sends its load to an entry outside a response. Each response contains the load, so
-// only entries without a recent response have a view that is far from the actual load. ID identifies an entry. The zero
-// value is ready to use. A Reporter is not safe for concurrent use.
+// only an entry without a recent response can have an outdated view of the agent. ID identifies an entry. The zero value
+// is ready to use. A Reporter is not safe for concurrent use.
 type Reporter[ID comparable] struct {
 	entries    []lastReport[ID]
 	unpaid     float64   // reports sent beyond the credit from ended tasks and elapsed time
@@ -29,9 +29,9 @@
 	// reportsPerSecond is the credit for each second. It lets an agent that runs only long tasks, which rarely end,
 	// report that it is full.
 	reportsPerSecond = 0.25
-	// quietDelay is the time without a message after which an entry is sent the load of an agent that is just full. An
-	// entry that sends work to the agent gets a response soon anyway, and the budget is better used to report free
-	// slots that an entry does not know of.
+	// quietDelay is the time without a message after which an entry that assumes several free slots is sent the load of
+	// an agent that has none. An entry that sends work to the agent gets a response soon anyway, and the budget is better
+	// used to report free slots that an entry does not know of.
 	quietDelay = 500 * time.Millisecond
 	// maxReportBurst limits a burst of reports after a time in which none were needed.
 	maxReportBurst = 8
@@ -62,11 +62,11 @@
 	}
 }
 
-// TaskEnded adds the credit of one ended task, which is part of a report.
+// TaskEnded adds the credit of one ended task.
 func (r *Reporter[ID]) TaskEnded() { r.unpaid = max(r.unpaid-reportsPerTask, 0) }
 
 // Due returns the entries to which the load must be sent now, as far as the budget allows, starting with the entry whose
-// last report is oldest. The caller sends the reports; they are recorded as sent.
+// last report is oldest. The agent must send the reports, which are recorded as sent.
 func (r *Reporter[ID]) Due(now time.Time, load specifier.Load) []ID {
 	var due []ID
 	r.unpaid = max(r.unpaid-reportsPerSecond*now.Sub(r.creditedAt).Seconds(), 0)
--- a/dispatch/retrier/budget.go
+++ b/dispatch/retrier/budget.go
@@ -8,14 +8,14 @@
 }
 
 const (
-	// defaultRatio applies to a profile that sets no ratio.
+	// defaultRetryRatio applies to a profile that sets no ratio.
 	defaultRetryRatio = 0.1
 	// maxTokens is a reserve that covers the loss of one worker, its slots and look-ahead, when few first attempts
 	// arrive.
 	maxTokens = 11
 )
 
-// RecordFirstAttempt adds the credit of one first attempt, which is ratio retries; a ratio of 0 is the default.
+// RecordFirstAttempt adds the credit of one first attempt, ratio retries. A ratio of 0 or less selects the default.
 func (b *Budget) RecordFirstAttempt(ratio float64) {
 	if ratio <= 0 {
 		ratio = defaultRetryRatio
--- a/dispatch/retrier/doc.go
+++ b/dispatch/retrier/doc.go
@@ -1,2 +1,3 @@
-// Package retrier decides whether and when a task is sent again.
+// Package retrier decides whether and when a task is sent again. A Retrier plans the time of each retry, within a Budget for
+// each profile.
 package retrier
--- a/dispatch/scheduler/agent.go
+++ b/dispatch/scheduler/agent.go
@@ -23,7 +23,7 @@
 	paceStart    time.Time // start of the current pace interval
 	sentInPace   int       // tasks sent in the current pace interval
 
-	refusedUntil time.Time // no task is sent before, since the agent refused one
+	refusedUntil time.Time // no task is sent before this time, since the agent refused one
 }
 
 // slots returns how many tasks the agent can run at once.
--- a/dispatch/scheduler/engine.go
+++ b/dispatch/scheduler/engine.go
@@ -60,8 +60,8 @@
 	// unlearnedShare is the upper limit of the expected run time of a profile without enough samples, as a share of the
 	// time to the deadline. It lets the first jobs of the profile pass admission.
 	unlearnedShare = 0.1
-	// urgentWindow is the time before its order key from which a task counts as nearly due. The tasks of a job of 10
-	// tasks are nearly due on arrival.
+	// urgentWindow is how far ahead the time of its order key may be for a task to count as nearly due. The tasks of a job
+	// of 10 tasks are nearly due on arrival.
 	urgentWindow = time.Second
 	// borrowDelay is the time without an arrival of short work after which long work may use more than its share.
 	borrowDelay = time.Second
--- a/dispatch/scheduler/latebinding.go
+++ b/dispatch/scheduler/latebinding.go
@@ -51,7 +51,7 @@
 	free := max(int(weight*float64(slots)), 1) + lookAhead - agent.otherTasksAt(now) - len(agent.assigned)
 	free = max(min(free, agent.healthLimit(now, slots+lookAhead)-len(agent.assigned)), 0)
 	if weight == 0 {
-		free = min(free, 1) // counts as a queue, not as a free slot
+		free = min(free, 1) // level 1 is a place in the queue, not a free slot
 	}
 	return [laneCount]int{free, min(free, longLimit(slots, c)-agent.longAssigned)}
 }
