--- a/agent/executor/departure.go
+++ b/agent/executor/departure.go
@@ -24,7 +24,7 @@
 	d.disconnectedEntries[entry] = true
 }
 
-// connected deletes the entry from the disconnected ones. This includes its earlier incarnations, which wait for nothing.
+// connected removes the entry from the disconnected ones, together with its earlier incarnations, which expect no results.
 func (d *departure) connected(entry specifier.Identity) {
 	for other := range d.disconnectedEntries {
 		if other.Name == entry.Name {
--- a/agent/executor/executor.go
+++ b/agent/executor/executor.go
@@ -15,7 +15,7 @@
 type Executor struct {
 	// MaxQueue bounds the number of queued tasks; further ones are refused.
 	MaxQueue int
-	// MaxResultBytes bounds the results that are kept to be sent again. Beyond it new tasks are refused, since a result that
+	// MaxResultBytes bounds the results that are kept to be resent. Beyond it, new tasks are refused, since a result that
 	// was sent once must stay available.
 	MaxResultBytes int
 
@@ -149,7 +149,7 @@
 	return next
 }
 
-// leaseRenewed announces the load if the agent takes work again after its lease had ended.
+// leaseRenewed extends the lease. If the lease had ended, the agent takes work again and announces its load.
 func (x *Executor) leaseRenewed(now time.Time, until time.Time) {
 	wasLeased := x.leased(now)
 	x.leaseEnd = until
--- a/agent/executor/running.go
+++ b/agent/executor/running.go
@@ -64,7 +64,7 @@
 		Body: task.body, Detail: task.detail, RunTime: task.runTime, Waited: task.waitTime, Load: x.Load()})
 }
 
-// reportLoad sends the load to the entries that know a load which is too far off.
+// reportLoad sends the load to the entries whose view of it is outdated.
 func (x *Executor) reportLoad(now time.Time) {
 	load := x.Load()
 	for _, entry := range x.loadReporter.Due(now, load) {
--- a/agent/invoker/invoker.go
+++ b/agent/invoker/invoker.go
@@ -75,8 +75,7 @@
 	return body, response.StatusCode, errors.Wrap(err, "invoker: read the result")
 }
 
-// neverSent reports whether the error proves that no byte reached the upstream: the
-// connection could not be made.
+// neverSent reports whether the error proves that no byte reached the upstream, because the connection could not be made.
 func neverSent(err error) bool {
 	var failure *net.OpError
 	return errors.As(err, &failure) && failure.Op == "dial"
--- a/agent/leaseholder/doc.go
+++ b/agent/leaseholder/doc.go
@@ -1,5 +1,5 @@
-// Package leaseholder decides for an agent which runs its worker starts, keeps and stops. It is pure: a step takes the
-// time and an event and returns actions.
+// Package leaseholder decides for an agent which runs its worker starts, keeps and stops. It is a state machine without
+// I/O: a step takes the time and an event and returns actions.
 //
 // The agent extends the leases of its worker's runs only while it has a grant of the leading controller, and never beyond the
 // end of that grant. A start whose answer is lost counts as a run until a poll of the worker, a stop or the end of the
--- a/agent/leaseholder/leaseholder.go
+++ b/agent/leaseholder/leaseholder.go
@@ -31,7 +31,7 @@
 	lapseMargin = 60 * time.Millisecond
 	// maxStartTime is longer than any answered start takes.
 	maxStartTime = 200 * time.Millisecond
-	// maxPendingRenewals is the number of renewals without a grant that are remembered.
+	// maxPendingRenewals is the number of renewals without a grant that are kept.
 	maxPendingRenewals = 64
 )
 
--- a/agent/leaseholder/leaseholder_test.go
+++ b/agent/leaseholder/leaseholder_test.go
@@ -71,7 +71,8 @@
 	must.Eq(f.t, kind, refused[0].Kind)
 }
 
-// Guards against a lease that outlasts the controller's grant: after the grant, the task may be started elsewhere.
+// TestLeaseEndsWithTheGrant guards against a lease that outlasts the controller's grant: after the grant, the task may
+// be started elsewhere.
 func TestLeaseEndsWithTheGrant(t *testing.T) {
 	f := newFixture(t)
 	f.now = f.now.Add(900 * time.Millisecond)
@@ -105,8 +106,8 @@
 	})
 }
 
-// Guards against a run that counts as ended although it may still begin, and against a run that is no longer tracked. Both
-// could follow from a start whose answer is lost.
+// TestUnansweredStart guards against a run that counts as ended although it may still begin, and against a run that is
+// no longer tracked. Both could follow from a start whose answer is lost.
 func TestUnansweredStart(t *testing.T) {
 	f := newFixture(t)
 	f.order(1)
@@ -125,7 +126,8 @@
 	must.True(t, f.holder.Idle())
 }
 
-// Guards against ends that are noticed half a second late because the answer to one poll was lost.
+// TestLostPollIsRepeatedAtOnce guards against ends that are noticed half a second late because the answer to one poll
+// was lost.
 func TestLostPollIsRepeatedAtOnce(t *testing.T) {
 	f := newFixture(t)
 	must.True(t, f.holder.polling)
@@ -134,7 +136,8 @@
 	must.LessEq(t, 100*time.Millisecond, find[Poll](f.actions)[0].Wait)
 }
 
-// Guards against a restarted worker that carries out a start which was meant for its earlier incarnation.
+// TestTokenRisesWithEachIncarnation guards against a restarted worker that carries out a start which was meant for its
+// earlier incarnation.
 func TestTokenRisesWithEachIncarnation(t *testing.T) {
 	f := newFixture(t)
 	before := f.holder.workerToken()
--- a/agent/leaseholder/runstate.go
+++ b/agent/leaseholder/runstate.go
@@ -1,5 +1,6 @@
 package leaseholder
 
+// runState is the state of a run as known to the agent.
 type runState uint8
 
 const (
--- a/agent/leaseholder/start.go
+++ b/agent/leaseholder/start.go
@@ -11,5 +11,5 @@
 	Start    specifier.RunStart
 	Token    uint64
 	LeaseEnd time.Duration // end of the lease, on the worker's clock
-	WorkerID string        // ID
+	WorkerID string
 }
--- a/agent/leaserunner/doc.go
+++ b/agent/leaserunner/doc.go
@@ -1,3 +1,3 @@
-// Package leaserunner runs an agent of the queues: it connects leaseholder, which makes the decisions, to the leading controller
-// and the worker.
+// Package leaserunner runs the agent beside a worker of queued jobs. It connects leaseholder, which makes the decisions, to
+// the leading controller and the worker.
 package leaserunner
--- a/agent/leaserunner/runner.go
+++ b/agent/leaserunner/runner.go
@@ -30,10 +30,10 @@
 	pollMargin = 50 * time.Millisecond
 )
 
-// Runner is the process beside a worker. Exported fields are set before Run.
+// Runner is the agent beside a worker. Exported fields are set before Run.
 type Runner struct {
 	Name        string
-	Seeds       []netip.AddrPort // controllers to ask first
+	Seeds       []netip.AddrPort // addresses at which the search for the leader begins
 	Credentials credentials.TransportCredentials
 	Worker      Worker
 	GrantSpan   time.Duration // duration of a controller's grant
@@ -48,7 +48,8 @@
 	ctx     context.Context
 }
 
-// Open prepares the agent for events, which wait until it runs. It returns an error that names the first field that is missing.
+// Open prepares the agent for events, which are queued until Run is called. It returns an error that names the first field
+// that is missing.
 func (r *Runner) Open() error {
 	switch {
 	case r.Name == "":
@@ -83,7 +84,7 @@
 	return nil
 }
 
-// Run serves until ctx ends. Open comes first.
+// Run serves until ctx ends. Open must be called first.
 func (r *Runner) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	r.calls, r.ctx = group, ctx
@@ -95,7 +96,7 @@
 	return group.Wait()
 }
 
-// SetSeeds replaces the controllers to ask first.
+// SetSeeds replaces the addresses at which the search for the leader begins.
 func (r *Runner) SetSeeds(seeds []netip.AddrPort) { r.locator.SetSeeds(seeds) }
 
 // Announced forwards an announcement of the worker.
@@ -108,7 +109,8 @@
 	return r.mailbox.Send(ctx, event{control: leaseholder.Departed{ID: id}})
 }
 
-// Leave makes the agent refuse further starts, and returns when nothing runs at the worker any more.
+// Leave makes the agent refuse further starts, and returns once the worker runs nothing and the controller has acknowledged
+// every end.
 func (r *Runner) Leave(ctx context.Context) error {
 	idle := make(chan struct{})
 	if err := r.mailbox.Send(ctx, event{idle: idle}); err != nil {
--- a/agent/main.go
+++ b/agent/main.go
@@ -3,7 +3,7 @@
 //	agent -settings FILE              settings of this agent
 //	agent -settings FILE -name NAME   settings of a deployment that lists it
 //
-// It exits with 0 after a complete shutdown, 1 after the failure of a component, 2 when it could not
+// The exit status is 0 after a complete shutdown, 1 after the failure of a component, 2 when the agent could not
 // start, and 3 when the shutdown was aborted.
 package main
 
@@ -27,10 +27,10 @@
 )
 
 const (
-	// maxEvents covers some seconds of the time line of one worker, in about 4 MB: on a worker, all control
-	// processes together have 32 MB.
+	// maxEvents is enough for several seconds of the time line of one worker, in about 4 MB. All control processes on a
+	// worker together have 32 MB.
 	maxEvents = 1 << 14
-	// faultLogInterval is the shortest interval between log lines for the same fault.
+	// faultLogInterval is the minimum time between log lines of the same fault.
 	faultLogInterval = time.Minute
 )
 
--- a/agent/runner/agent.go
+++ b/agent/runner/agent.go
@@ -33,7 +33,7 @@
 const (
 	// mailboxSize is the number of events that may wait for the control goroutine.
 	mailboxSize = 4096
-	// maxResultBytes bounds the results that are kept to be sent again.
+	// maxResultBytes bounds the results that are kept to be resent.
 	maxResultBytes = 64 << 20
 )
 
@@ -46,7 +46,7 @@
 // Conditions returns the conditions that must be met for an agent to be ready for work.
 func Conditions() []string { return []string{conditionLease, conditionUpstream} }
 
-// guard lists which roles may call which method of an agent.
+// guard lists the roles that may call each method of an agent.
 var guard = authenticator.Guard{
 	encoder.Worker_Link_FullMethodName:     {specifier.Entry},
 	encoder.Timeline_Gather_FullMethodName: {authenticator.Operator},
--- a/agent/runner/agent_test.go
+++ b/agent/runner/agent_test.go
@@ -47,7 +47,7 @@
 	return agent
 }
 
-// Guards against a shutdown that hangs or leaves goroutines when no controller answers.
+// TestStopWithoutControllers guards against a shutdown that hangs or leaves goroutines when no controller answers.
 func TestStopWithoutControllers(t *testing.T) {
 	agent := startAgent(t)
 	steps := agent.Steps()
@@ -60,8 +60,8 @@
 	must.NoError(t, group.Wait())
 }
 
-// Guards against events of a new incarnation that are recorded under the previous one: a task started after the loss of
-// the agent would appear to have started before it.
+// TestNewIncarnationHasItsOwnTimeline guards against events of a new incarnation that are recorded under the previous
+// one: a task started after the loss of the agent would appear to have started before it.
 func TestNewIncarnationHasItsOwnTimeline(t *testing.T) {
 	agent := startAgent(t)
 	first := agent.Self()
--- a/agent/runner/meter_test.go
+++ b/agent/runner/meter_test.go
@@ -56,7 +56,7 @@
 	t.Fatalf("no metric %s %v", name, labels)
 }
 
-// Guards against a gauge that drifts because a task left the queue in a way that is not counted.
+// TestQueueIsCounted guards against a gauge that drifts because a task left the queue in a way that is not counted.
 func TestQueueIsCounted(t *testing.T) {
 	full := func() *meteredExecutor {
 		m := newMeteredExecutor()
