--- a/entry/connector/messages.go
+++ b/entry/connector/messages.go
@@ -13,23 +13,23 @@
 // maxMergedBytes is the maximum total size of payloads that are merged into one message.
 const maxMergedBytes = 1 << 20
 
-// EncodeAssign converts Order to an age and the deadline to the time left, both at now.
+// EncodeAssign converts an assignment into a message, with Order as an age and the deadline as the time left at now.
 func EncodeAssign(a coordinator.Assign, now time.Time) *encoder.EntryMessage {
 	return &encoder.EntryMessage{Assigns: []*encoder.Assign{{Job: a.Key.Job[:], Epoch: uint64(a.Epoch), Task: a.Key.Task,
 		Payload: a.Payload, Age: int64(now.Sub(a.Order)), TimeLeft: int64(a.Deadline.Sub(now)), Profile: a.Profile}}}
 }
 
-// EncodeWithdraw copies every field.
+// EncodeWithdraw converts a withdrawal into a message.
 func EncodeWithdraw(w coordinator.Withdraw) *encoder.EntryMessage {
 	return &encoder.EntryMessage{Withdraws: []*encoder.Withdraw{{Job: w.Job[:], Epoch: uint64(w.Epoch)}}}
 }
 
-// EncodeFence converts the deadline to the time left at now.
+// EncodeFence converts a fence into a message, with the deadline as the time left at now.
 func EncodeFence(f coordinator.Fence, now time.Time) *encoder.EntryMessage {
 	return &encoder.EntryMessage{Fences: []*encoder.Fence{{Job: f.Job[:], Epoch: uint64(f.Epoch), TimeLeft: int64(f.Deadline.Sub(now)), Mark: f.Mark}}}
 }
 
-// EncodeRelease tells an agent that this entry has released it.
+// EncodeRelease returns the message by which this entry releases an agent.
 func EncodeRelease() *encoder.EntryMessage { return &encoder.EntryMessage{Released: true} }
 
 // merge joins leading messages as far as their order is preserved: an agent handles the assignments of a message
--- a/entry/connector/proposer_test.go
+++ b/entry/connector/proposer_test.go
@@ -23,11 +23,11 @@
 // testTimeout ends a test that gets no decision.
 const testTimeout = 30 * time.Second
 
-// registry is a fake controller that decides every proposal, or none if silent.
+// registry is a fake controller that decides every proposal, or none if unresponsive.
 type registry struct {
 	encoder.UnimplementedRegistryServer
 
-	silent bool
+	unresponsive bool
 }
 
 func (r *registry) Propose(stream encoder.Registry_ProposeServer) error {
@@ -36,7 +36,7 @@
 		if err != nil {
 			return err
 		}
-		if r.silent {
+		if r.unresponsive {
 			continue
 		}
 		verdicts := &encoder.Verdicts{}
@@ -62,11 +62,11 @@
 	return listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// Guards against an entry that waits forever for a controller that leaves proposals undecided: the stream stays open,
-// and the entry must switch to another controller by itself.
-func TestSilentController(t *testing.T) {
+// TestUnresponsiveController guards against an entry that waits forever for a controller that leaves proposals
+// undecided: the stream stays open, and the entry must switch to another controller by itself.
+func TestUnresponsiveController(t *testing.T) {
 	var servers errgroup.Group
-	controllers := []netip.AddrPort{serve(t, &servers, &registry{silent: true}), serve(t, &servers, &registry{})}
+	controllers := []netip.AddrPort{serve(t, &servers, &registry{unresponsive: true}), serve(t, &servers, &registry{})}
 	pool := &dialer.Pool{Credentials: insecure.NewCredentials()}
 	t.Cleanup(func() { pool.Close() })
 	p := NewProposer()
--- a/entry/coordinator/cancellation.go
+++ b/entry/coordinator/cancellation.go
@@ -9,7 +9,7 @@
 
 func (c *Coordinator) cancelRequested(now time.Time, e CancelRequested) {
 	if job := c.jobs[e.Job]; job != nil && job.owned() {
-		c.attach(job, job.digest, waiting{waiter: e.Waiter})
+		c.attach(job, job.digest, request{waiter: e.Waiter})
 		c.cancel(now, job)
 		return
 	}
@@ -47,7 +47,7 @@
 
 func (c *Coordinator) abandoned(e Abandoned) {
 	if job := c.jobs[e.Job]; job != nil {
-		job.waiters = slices.DeleteFunc(job.waiters, func(w waiting) bool { return w.waiter == e.Waiter })
+		job.requests = slices.DeleteFunc(job.requests, func(r request) bool { return r.waiter == e.Waiter })
 	}
 	cancels := slices.DeleteFunc(c.cancels[e.Job], func(w Waiter) bool { return w == e.Waiter })
 	if len(cancels) > 0 {
--- a/entry/coordinator/capacity.go
+++ b/entry/coordinator/capacity.go
@@ -7,7 +7,7 @@
 	}
 	job.recorded = true
 	c.recordedJobs.Push(job.spec.ID)
-	// Jobs whose retention has passed may still be listed: the list holds at most twice MaxJobs.
+	// The list may contain jobs whose retention has passed, so its length is limited to twice MaxJobs.
 	for c.recordedJobs.Len() > 2*c.MaxJobs {
 		c.evictOldest()
 	}
--- a/entry/coordinator/capacity_test.go
+++ b/entry/coordinator/capacity_test.go
@@ -12,8 +12,8 @@
 	"oleandertally/entry/coordinator"
 )
 
-// Guards against an entry that refuses jobs because it still retains the answers of the last 30 s: with a capacity
-// of 10,000 jobs, refusals would start at 333 jobs per second.
+// TestRecordedAnswersAreEvicted guards against an entry that refuses jobs because it still retains the answers of the
+// last 30 s: with a capacity of 10,000 jobs, refusals would start at 333 jobs per second.
 func TestRecordedAnswersAreEvicted(t *testing.T) {
 	const capacity = 4
 	start := func(t *testing.T) *cluster {
--- a/entry/coordinator/coordinator.go
+++ b/entry/coordinator/coordinator.go
@@ -25,8 +25,10 @@
 
 // Coordinator is the control state of an entry. Exported fields are set before the first Step.
 type Coordinator struct {
-	MaxJobs   int        // retained at once; recorded answers are evicted for new jobs, and beyond that new jobs are refused without a lookup
-	Rand      *rand.Rand // of the retry jitter
+	// MaxJobs bounds the jobs in memory. Recorded answers are evicted for new jobs; if there are none, new jobs are refused
+	// without a lookup of their key.
+	MaxJobs   int
+	Rand      *rand.Rand // source of the retry jitter
 	Scheduler *scheduler.Scheduler
 
 	self           specifier.Identity
@@ -227,17 +229,17 @@
 	c.actions = append(c.actions, RecordEvent{recorder.Event{Kind: kind, Job: job.spec.ID, Task: task, Epoch: job.epoch, Other: other, Detail: detail}})
 }
 
-// answerAll sends the answer to every waiter of the job.
+// answerAll answers every request that waits for the job.
 func (c *Coordinator) answerAll(now time.Time, job *job, answer specifier.Answer) {
 	job.answer = answer
 	job.phase = answered
-	for _, waiting := range job.waiters {
-		c.reply(job, waiting)
+	for _, request := range job.requests {
+		c.reply(job, request)
 	}
-	job.waiters = nil
+	job.requests = nil
 }
 
-func (c *Coordinator) reply(job *job, to waiting) {
+func (c *Coordinator) reply(job *job, to request) {
 	if to.caller {
 		c.recordEvent(recorder.JobAnswered, job, "", "", recorder.AnswerDetail(job.answer))
 	}
--- a/entry/coordinator/job.go
+++ b/entry/coordinator/job.go
@@ -19,18 +19,18 @@
 	epoch          specifier.Epoch
 	replaces       specifier.Epoch    // epoch of the former owner in TakeOverJob; 0 for AcceptJob
 	minRevision    specifier.Revision // configuration revision that a stale proposal waits for
-	refusal        *specifier.Answer  // the answer unless the controllers know the key
-	waiters        []waiting
+	refusal        *specifier.Answer  // the answer to the callers, unless the controllers already know the key
+	requests       []request
 	cancelled      bool
 
 	index          map[string]int // task ID to index in tasks
 	tasks          []jobTask
 	remaining      int                 // number of tasks that are not done
-	maybeAnswered  bool                // by a former owner, with Complete
-	recordMissing  bool                // an agent departed whose record can't be obtained
+	maybeAnswered  bool                // a former owner may have answered with Complete
+	recordMissing  bool                // the record of a departed agent can't be obtained
 	finished       *specifier.Decision // set while the entry asks the owner of a finished job for its answer
 	resultsOnly    bool                // the job already finished as Complete; the entry only collects its results
-	memberVersion  uint64              // membership version of the decision; collecting waits for it
+	memberVersion  uint64              // membership version of the decision; reports are requested once this entry knows it
 	awaitedReports map[specifier.Identity]bool
 
 	answer    specifier.Answer // while recording, the answer to be given; once answered, the answer that was given
--- a/entry/coordinator/leave_test.go
+++ b/entry/coordinator/leave_test.go
@@ -51,8 +51,8 @@
 	c.stopReleased(c.agents[0])
 }
 
-// Guards against a planned stop of an agent that loses a task, a result or a refusal in transit, even when
-// streams break during the stop.
+// TestAgentLeavesWithoutLoss guards against a planned stop of an agent that loses a task, a result or a refusal in
+// transit, even when streams break during the stop.
 func TestAgentLeavesWithoutLoss(t *testing.T) {
 	departed := 0
 	for seed := range uint64(400) {
@@ -77,7 +77,8 @@
 	must.Positive(t, departed)
 }
 
-// Guards against an entry that stops before its answers are recorded, or that accepts jobs while it drains.
+// TestEntryDrains guards against an entry that stops before its answers are recorded, or that accepts jobs while it
+// drains.
 func TestEntryDrains(t *testing.T) {
 	c := newCluster(t, 1, 1)
 	e := c.entries[0]
--- a/entry/coordinator/owner.go
+++ b/entry/coordinator/owner.go
@@ -30,7 +30,7 @@
 		c.actions = append(c.actions, Reply{Waiter: e.Waiter, Job: e.Job, NotOwner: true})
 		return
 	}
-	c.attach(job, job.digest, waiting{waiter: e.Waiter})
+	c.attach(job, job.digest, request{waiter: e.Waiter})
 	if e.Cancel {
 		c.cancel(now, job)
 	}
--- a/entry/coordinator/path_test.go
+++ b/entry/coordinator/path_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// Guards against a lost or duplicated step when nothing fails.
+// TestJobRunsOnce guards against a lost or duplicated step when nothing fails.
 func TestJobRunsOnce(t *testing.T) {
 	c := newCluster(t, 2, 2)
 	job := newJob(0, 3)
@@ -67,8 +67,8 @@
 	c.mustKeepGuarantees()
 }
 
-// Guards against a second start when an agent's report crosses an assignment: the report does not cover a task that
-// was sent after the fence (found by seed 149).
+// TestReportDoesNotJudgeLaterAssignments guards against a second start when an agent's report crosses an assignment:
+// the report does not cover a task that was sent after the fence (found by seed 149).
 func TestReportDoesNotJudgeLaterAssignments(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	e := c.entries[0]
@@ -86,8 +86,8 @@
 	c.mustKeepGuarantees()
 }
 
-// Guards against a new run under the epoch of a takeover whose decision was lost: the tasks may have
-// started under the former owner (found by seed 2139).
+// TestUnnoticedTakeOverIsCollected guards against a new run under the epoch of a takeover whose decision was lost: the
+// tasks may have started under the former owner (found by seed 2139).
 func TestUnnoticedTakeOverIsCollected(t *testing.T) {
 	c := newCluster(t, 2, 2)
 	job := newJob(0, 2)
@@ -111,8 +111,8 @@
 	c.mustKeepGuarantees()
 }
 
-// Guards against an entry that continues to send tasks after it was recorded as Down: an agent that
-// joined later was not fenced by the entry that took over the job.
+// TestExpelledEntryStopsDispatching guards against an entry that continues to send tasks after it was recorded as Down:
+// an agent that joined later was not fenced by the entry that took over the job.
 func TestExpelledEntryStopsDispatching(t *testing.T) {
 	c := newCluster(t, 2, 1)
 	former, successor := c.entries[0], c.entries[1]
@@ -135,7 +135,8 @@
 	c.mustKeepGuarantees()
 }
 
-// Guards against a refusal under a configuration that is no longer in force (found by seed 803).
+// TestStaleEntryDoesNotRefuse guards against a refusal under a configuration that is no longer in force (found by seed
+// 803).
 func TestStaleEntryDoesNotRefuse(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	e := c.entries[0]
@@ -149,7 +150,7 @@
 	c.mustKeepGuarantees()
 }
 
-// Guards against a NotRun answer for a key whose job runs at another entry.
+// TestRefusalAsksTheRecord guards against a NotRun answer for a key whose job runs at another entry.
 func TestRefusalAsksTheRecord(t *testing.T) {
 	c := newCluster(t, 2, 2)
 	job := newJob(0, 1)
@@ -163,7 +164,8 @@
 	c.mustKeepGuarantees()
 }
 
-// Guards against running a delayed copy of a request after another copy was refused.
+// TestRefusalHoldsForCopiesOnTheirWay guards against running a delayed copy of a request after another copy was
+// refused.
 func TestRefusalHoldsForCopiesOnTheirWay(t *testing.T) {
 	c := newCluster(t, 2, 2)
 	job := newJob(0, 1)
@@ -178,7 +180,7 @@
 	c.mustKeepGuarantees()
 }
 
-// Guards against accepting a key again with a different body.
+// TestKeyIsNotReused guards against accepting a key again with a different body.
 func TestKeyIsNotReused(t *testing.T) {
 	c := newCluster(t, 2, 2)
 	job, other := newJob(0, 1), newJob(0, 2)
@@ -193,7 +195,7 @@
 	c.mustKeepGuarantees()
 }
 
-// Guards against repeating a task whose worker was lost, unless the profile allows it.
+// TestLostWorker guards against retrying a task whose worker was lost, unless the profile allows it.
 func TestLostWorker(t *testing.T) {
 	run := func(t *testing.T, job specifier.Job) specifier.Answer {
 		c := newCluster(t, 1, 2)
@@ -217,8 +219,8 @@
 	})
 }
 
-// Guards against an answer that contradicts an answer of the former owner that was not recorded: the former owner
-// may have completed the job before the cancellation (found by seed 28024).
+// TestCancelAfterLostOwner guards against an answer that contradicts an answer of the former owner that was not
+// recorded: the former owner may have completed the job before the cancellation (found by seed 28024).
 func TestCancelAfterLostOwner(t *testing.T) {
 	c := newCluster(t, 2, 1)
 	job := newJob(2, 1) // repeatable
@@ -241,7 +243,7 @@
 	c.mustKeepGuarantees()
 }
 
-// Guards against accepting a deadline beyond the profile's MaxTimeLeft.
+// TestProfileBoundsTheTimeLeft guards against accepting a deadline beyond the profile's MaxTimeLeft.
 func TestProfileBoundsTheTimeLeft(t *testing.T) {
 	c := newCluster(t, 1, 1)
 	c.apply(specifier.ChangeConfiguration{RequestID: "bound", Operator: "test", From: 1,
@@ -252,7 +254,8 @@
 	mustOutcome(t, c, waiter, specifier.NotRun, specifier.Invalid)
 }
 
-// Guards against worker losses that multiply the load: repeats stop when the retry budget is spent.
+// TestRepeatsEndWithTheBudget guards against worker losses that multiply the load: retries stop when the retry budget
+// is spent.
 func TestRepeatsEndWithTheBudget(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	failed := 0
@@ -272,11 +275,11 @@
 			failed++
 		}
 	}
-	must.Positive(t, failed) // the budget allows 11 repeats at once, plus one for every ten first attempts
+	must.Positive(t, failed) // the budget allows 11 retries at once, plus one for every ten first attempts
 	c.mustKeepGuarantees()
 }
 
-// Guards against a lost cancellation, and against running a job that is submitted after its cancellation.
+// TestCancel guards against a lost cancellation, and against running a job that is submitted after its cancellation.
 func TestCancel(t *testing.T) {
 	t.Run("before it is submitted", func(t *testing.T) {
 		c := newCluster(t, 2, 2)
--- a/entry/coordinator/phase.go
+++ b/entry/coordinator/phase.go
@@ -11,6 +11,6 @@
 	attached                // another entry owns the job
 	collecting              // the entry waits for the agents' records
 	running                 // tasks wait, run or are done
-	recording               // FinishJob or ReleaseJob is undecided; the answer waits for the decision
+	recording               // FinishJob is undecided; the answer waits for the decision
 	answered
 )
--- a/entry/coordinator/schedule_test.go
+++ b/entry/coordinator/schedule_test.go
@@ -11,9 +11,9 @@
 
 var schedules = flag.Int("schedules", 2000, "random schedules to run")
 
-// Guards against a task that starts twice, a false NotRun, a partial or second answer, and a caller
-// without an answer when, at any step, messages are lost or delayed, streams break, and processes are killed or
-// recorded as Down.
+// TestPromisesHoldUnderFaults guards against a task that starts twice, a false NotRun, a partial or second answer, and
+// a caller without an answer when, at any step, messages are lost or delayed, streams break, and processes are killed
+// or recorded as Down.
 // A longer run: go test ./entry/coordinator -run TestPromisesHold -schedules 100000
 func TestPromisesHoldUnderFaults(t *testing.T) {
 	for seed := range uint64(*schedules) {
--- a/entry/coordinator/submission.go
+++ b/entry/coordinator/submission.go
@@ -12,11 +12,11 @@
 	digest := specifier.NewDigest(e.Job)
 	if known := c.jobs[e.Job.ID]; known != nil {
 		c.recordEvent(recorder.JobSubmitted, known, "", "", fmt.Sprintf("%d tasks", len(e.Job.Tasks)))
-		c.attach(known, digest, waiting{waiter: e.Waiter, caller: true})
+		c.attach(known, digest, request{waiter: e.Waiter, caller: true})
 		return
 	}
 	job := newJob(now, e.Job, digest)
-	job.waiters = []waiting{{waiter: e.Waiter, caller: true}}
+	job.requests = []request{{waiter: e.Waiter, caller: true}}
 	c.recordEvent(recorder.JobSubmitted, job, "", "", fmt.Sprintf("%d tasks", len(e.Job.Tasks)))
 	c.freeCapacity()
 	if len(c.jobs) >= c.MaxJobs {
@@ -34,8 +34,8 @@
 	c.propose(now, job)
 }
 
-// attach adds a waiter to a job that this entry knows.
-func (c *Coordinator) attach(known *job, digest specifier.Digest, to waiting) {
+// attach adds a request to a job that this entry knows.
+func (c *Coordinator) attach(known *job, digest specifier.Digest, to request) {
 	if known.digest != digest {
 		refused := &job{spec: specifier.Job{ID: known.spec.ID}, answer: specifier.Refuse(specifier.KeyReused, "the key was used with another body")}
 		c.reply(refused, to)
@@ -46,7 +46,7 @@
 		c.reply(known, to)
 		return
 	}
-	known.waiters = append(known.waiters, to)
+	known.requests = append(known.requests, to)
 }
 
 // check returns a refusal if the job can't run under the configuration in force, or nil. It sets the
--- a/entry/main.go
+++ b/entry/main.go
@@ -3,8 +3,8 @@
 //	entry -settings FILE              settings of this entry
 //	entry -settings FILE -name NAME   settings of a deployment that lists it
 //
-// The exit status is 0 after a complete shutdown, 1 after the failure of a part, 2 when the entry could not
-// start, and 3 when the shutdown was cut short.
+// The exit status is 0 after a complete shutdown, 1 after the failure of a component, 2 when the entry could not
+// start, and 3 when the shutdown was aborted.
 package main
 
 import (
--- a/entry/requester/machine.go
+++ b/entry/requester/machine.go
@@ -15,10 +15,10 @@
 	retryDelay = 40 * time.Millisecond
 	// leaderTimeout is how long a call waits for a leader. Most leader changes take less.
 	leaderTimeout = 700 * time.Millisecond
-	// idealDivisor divides a job's ideal run time into the time that a new job waits for a leader when there has been
-	// none for longer than leaderTimeout.
+	// When there has been no leader for longer than leaderTimeout, a new job waits for one for its ideal run time divided
+	// by idealDivisor.
 	idealDivisor = 4
-	// pingInterval keeps traffic on the stream, since a silent stream counts as broken.
+	// pingInterval keeps traffic on the stream, since an idle stream counts as broken.
 	pingInterval = 100 * time.Millisecond
 )
 
--- a/entry/requester/machine_test.go
+++ b/entry/requester/machine_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// Guards against reporting "not run" for a job that a former leader may have started.
+// TestRefusalAfterALostStream guards against reporting "not run" for a job that a former leader may have started.
 func TestRefusalAfterALostStream(t *testing.T) {
 	t.Run("a first refusal stands", func(t *testing.T) {
 		f := newFixture(t)
@@ -101,7 +101,7 @@
 	})
 }
 
-// Guards against reporting "not run" at the deadline for a call that a controller may have handled.
+// TestDeadline guards against reporting "not run" at the deadline for a call that a controller may have handled.
 func TestDeadline(t *testing.T) {
 	t.Run("unsent", func(t *testing.T) {
 		f := newFixture(t)
@@ -119,7 +119,7 @@
 	})
 }
 
-// Checks how long calls wait while there is no leader.
+// TestWithoutALeader checks how long calls wait while there is no leader.
 func TestWithoutALeader(t *testing.T) {
 	job := specifier.QueuedJob{Steps: []specifier.Step{{Count: 1, Estimate: 200 * time.Millisecond}}}
 	submit := func(f *fixture) chan<- answer {
--- a/entry/requester/requester.go
+++ b/entry/requester/requester.go
@@ -74,7 +74,8 @@
 	return r.locator.KnownControllers()
 }
 
-// Call returns the reply, ErrUnsent or ErrUnanswered at the deadline, or the context's error.
+// Call sends a call and returns the reply. It fails with ErrUnsent or ErrUnanswered at the deadline, or earlier if there is
+// no leader, and with the cause of ctx if ctx ends first.
 func (r *Requester) Call(ctx context.Context, call specifier.QueueCall, deadline time.Time) (specifier.QueueReply, error) {
 	replyTo := make(chan answer, 1)
 	if err := r.mailbox.Send(ctx, callStarted{call: call, deadline: deadline, replyTo: replyTo}); err != nil {
--- a/entry/responder/handler_test.go
+++ b/entry/responder/handler_test.go
@@ -53,8 +53,8 @@
 	must.Eq(t, read, reader.bytes)
 }
 
-// Guards against unauthorized callers, too many requests or a long body filling the entry's memory, and against a
-// limit in the settings that has no effect.
+// TestRefusalsBeforeTheCoordinator guards against unauthorized callers, too many requests or a long body filling the
+// entry's memory, and against a limit in the settings that has no effect.
 func TestRefusalsBeforeTheCoordinator(t *testing.T) {
 	t.Run("no token", func(t *testing.T) {
 		h := newHandler()
--- a/entry/responder/submission_test.go
+++ b/entry/responder/submission_test.go
@@ -8,7 +8,8 @@
 	"oleandertally/core/specifier"
 )
 
-// Guards against accepting a body that is ambiguous because of repeated names, or that has no time left.
+// TestBodiesThatAreInvalid guards against accepting a body that is ambiguous because of repeated names, or that has no
+// time left.
 func TestBodiesThatAreInvalid(t *testing.T) {
 	for name, body := range map[string]string{
 		"negative TimeLeft":            strings.Replace(submission, `"1s"`, `"-1s"`, 1),
@@ -24,7 +25,7 @@
 	}
 }
 
-// Guards against treating names inside the caller's payload as names of the body.
+// TestPayloadsMayRepeatNames guards against treating names inside the caller's payload as names of the body.
 func TestPayloadsMayRepeatNames(t *testing.T) {
 	body := strings.Replace(submission, `"Payload":1`, `"Payload":{"a":1,"a":2,"Team":"x"}`, 1)
 	if name, found := repeatedName([]byte(body)); found {
--- a/entry/runner/entry.go
+++ b/entry/runner/entry.go
@@ -135,8 +135,8 @@
 	encoder.RegisterTimelineServer(e.server, &operator.Timeline{Buffer: e.Events})
 }
 
-// Run serves until ctx ends. The end of ctx breaks off requests in flight; Steps are the graceful shutdown. Run calls
-// Open if it was not called before.
+// Run serves until ctx ends, which aborts requests in flight; Steps stop an entry gracefully. Run calls Open unless it
+// was called before.
 func (e *Entry) Run(ctx context.Context) error {
 	if e.mailbox == nil {
 		if err := e.Open(); err != nil {
--- a/entry/runner/entry_test.go
+++ b/entry/runner/entry_test.go
@@ -35,7 +35,7 @@
 		Metrics: exporter.NewEntry(), Health: supervisor.NewHealth(Conditions()...)}
 }
 
-// Guards against a shutdown that hangs or leaks goroutines when no controller responds.
+// TestStopWithoutControllers guards against a shutdown that hangs or leaks goroutines when no controller responds.
 func TestStopWithoutControllers(t *testing.T) {
 	entry := newEntry(t)
 	must.NoError(t, entry.Open())
@@ -54,7 +54,8 @@
 	must.ErrorIs(t, group.Wait(), context.Canceled)
 }
 
-// Guards against a failed Open that keeps one listener open because the other address is in use.
+// TestOpenReleasesListeners guards against a failed Open that keeps one listener open because the other address is in
+// use.
 func TestOpenReleasesListeners(t *testing.T) {
 	first, second := newEntry(t), newEntry(t)
 	second.Settings.PeerAddr = first.Settings.PeerAddr
--- a/entry/runner/secure_test.go
+++ b/entry/runner/secure_test.go
@@ -38,7 +38,8 @@
 	return entry
 }
 
-// Guards against an entry that accepts jobs without TLS, without a valid token, or with the token of another team.
+// TestCallersNeedTokens guards against an entry that accepts jobs without TLS, without a valid token, or with the token
+// of another team.
 func TestCallersNeedTokens(t *testing.T) {
 	entry := startSecure(t, newIssuer(t))
 	// A caller verifies the entry by its address, for which the test has no certificate.
@@ -62,7 +63,7 @@
 	must.Eq(t, http.StatusBadRequest, post("http", "web-token", job), must.Sprint("expected the TLS layer's own answer"))
 }
 
-// Guards against a method that accepts calls from a role without permission.
+// TestMethodsAreGuardedByRole guards against a method that accepts calls from a role without permission.
 func TestMethodsAreGuardedByRole(t *testing.T) {
 	site := newIssuer(t)
 	entry := startSecure(t, site)
