--- a/agent/leaseholder/leaseholder.go
+++ b/agent/leaseholder/leaseholder.go
@@ -41,7 +41,7 @@
 	Incarnation specifier.Incarnation
 	GrantSpan   time.Duration // duration of a controller's grant
 	MaxLease    time.Duration // longest lease that the worker gives
-	StartedAt   time.Time     // when the process started, on the clock of Step
+	StartedAt   time.Time     // when this agent process started, on the clock of Step
 
 	now          time.Time
 	actions      []Action
@@ -57,7 +57,7 @@
 	leaving      bool
 
 	worker          *specifier.LeasedWorker
-	sequence        uint64 // of the worker's last announcement
+	sequence        uint64 // sequence number of the worker's last announcement
 	clock           workerClock
 	startedAt       time.Time // start of the newest known incarnation of the worker
 	runs            map[specifier.RunKey]*trackedRun
--- a/agent/leaserunner/event.go
+++ b/agent/leaserunner/event.go
@@ -11,5 +11,5 @@
 	control      leaseholder.Event
 	outbox       *looper.Outbox[*encoder.QueueReport] // set for a new stream
 	disconnected bool
-	idle         chan<- struct{} // from Leave; closed once the worker is idle
+	idle         chan<- struct{} // set by Leave; closed once the worker is idle
 }
--- a/dispatch/scheduler/engine.go
+++ b/dispatch/scheduler/engine.go
@@ -17,8 +17,8 @@
 // is a type parameter. Zone and Seed are set before use; the zero value of the other fields is ready to use. An Engine
 // is not safe for concurrent use.
 type Engine[P any, T Placement[P]] struct {
-	Zone string // of this entry
-	Seed uint64 // of random choices; different for each entry
+	Zone string // zone of this entry
+	Seed uint64 // seed of random choices; different for each entry
 	// Admission decides on new jobs; default admitter.ByFinish.
 	Admission admitter.Policy
 
--- a/entry/connector/connection.go
+++ b/entry/connector/connection.go
@@ -24,7 +24,7 @@
 	cancel context.CancelFunc
 
 	mutex  sync.Mutex
-	outbox *outbox // of the current stream; nil without one
+	outbox *outbox // outbox of the current stream; nil without one
 }
 
 func (c *connection) run(ctx context.Context) {
--- a/entry/coordinator/clusternodes_test.go
+++ b/entry/coordinator/clusternodes_test.go
@@ -19,9 +19,9 @@
 	machine     *coordinator.Coordinator
 	alive       bool
 	drained     bool
-	partitioned bool // from the controllers
+	partitioned bool // the entry can't reach the controllers
 	proposals   []specifier.Command
-	questions   map[coordinator.Waiter]ownerQuestion // of other entries that wait for an answer of this one
+	questions   map[coordinator.Waiter]ownerQuestion // requests of other entries for an answer of this one
 }
 
 // agentNode is one agent process.
@@ -29,8 +29,8 @@
 	id          specifier.Identity
 	machine     *executor.Executor
 	alive       bool
-	released    bool // by every entry
-	partitioned bool // from the controllers
+	released    bool // every entry has released the agent
+	partitioned bool // the agent can't reach the controllers
 	leaseUntil  time.Time
 	running     []executor.Run
 }
