--- a/dispatch/scheduler/engine.go
+++ b/dispatch/scheduler/engine.go
@@ -17,8 +17,8 @@
 // is a type parameter. Zone and Seed are set before use; the zero value of the other fields is ready to use. An Engine
 // is not safe for concurrent use.
 type Engine[P any, T Placement[P]] struct {
-	Zone string // of this entry
-	Seed uint64 // of random choices; different for each entry
+	Zone string // zone of this entry
+	Seed uint64 // seed of random choices; different for each entry
 	// Admission decides on new jobs; default admitter.ByFinish.
 	Admission admitter.Policy
 
@@ -60,8 +60,8 @@
 	// unlearnedShare is the upper limit of the expected run time of a profile without enough samples, as a share of the
 	// time to the deadline. It lets the first jobs of the profile pass admission.
 	unlearnedShare = 0.1
-	// urgentWindow is the time before its order key from which a task counts as nearly due. The tasks of a job of 10
-	// tasks are nearly due on arrival.
+	// urgentWindow is how far ahead the time of its order key may be for a task to count as nearly due. The tasks of a job
+	// of 10 tasks are nearly due on arrival.
 	urgentWindow = time.Second
 	// borrowDelay is the time without an arrival of short work after which long work may use more than its share.
 	borrowDelay = time.Second
@@ -111,7 +111,7 @@
 	e.abandon(job)
 	for len(job.sent) > 0 {
 		last := job.sent[len(job.sent)-1]
-		e.release(last.agent, last.item.Key)
+		e.unassign(last.agent, last.item.Key)
 		e.recycle(last)
 	}
 	delete(e.jobs, id)
--- a/entry/coordinator/coordinator.go
+++ b/entry/coordinator/coordinator.go
@@ -25,8 +25,10 @@
 
 // Coordinator is the control state of an entry. Exported fields are set before the first Step.
 type Coordinator struct {
-	MaxJobs   int        // retained at once; recorded answers are evicted for new jobs, and beyond that new jobs are refused without a lookup
-	Rand      *rand.Rand // of the retry jitter
+	// MaxJobs bounds the jobs in memory. Recorded answers are evicted for new jobs; if there are none, new jobs are refused
+	// without a lookup of their key.
+	MaxJobs   int
+	Rand      *rand.Rand // source of the retry jitter
 	Scheduler *scheduler.Scheduler
 
 	self           specifier.Identity
@@ -162,7 +164,7 @@
 		}
 		i := job.index[assigned.Item.Key.Task]
 		c.lastMark++
-		job.slots[i].agent, job.slots[i].mark = assigned.Agent, c.lastMark
+		job.tasks[i].agent, job.tasks[i].mark = assigned.Agent, c.lastMark
 		c.recordEvent(recorder.TaskAssigned, job, assigned.Item.Key.Task, assigned.Agent.Name, "")
 		c.actions = append(c.actions, Assign{Agent: assigned.Agent, Key: assigned.Item.Key, Epoch: job.epoch, Payload: job.spec.Tasks[i].Payload,
 			Order: assigned.Item.Order.At, Deadline: job.spec.Deadline, Profile: job.spec.Profile})
@@ -205,9 +207,9 @@
 			delete(c.jobs, job.spec.ID)
 		}
 	case answered:
-		if !job.retainUntil.After(now) && job.recorded {
+		if !job.keepUntil.After(now) && job.recorded {
 			delete(c.jobs, job.spec.ID)
-		} else if !job.retainUntil.After(now) {
+		} else if !job.keepUntil.After(now) {
 			c.setTimer(job, now.Add(answerRetention))
 		}
 	}
@@ -227,17 +229,17 @@
 	c.actions = append(c.actions, RecordEvent{recorder.Event{Kind: kind, Job: job.spec.ID, Task: task, Epoch: job.epoch, Other: other, Detail: detail}})
 }
 
-// answerAll sends the answer to every waiter of the job.
+// answerAll answers every request that waits for the job.
 func (c *Coordinator) answerAll(now time.Time, job *job, answer specifier.Answer) {
 	job.answer = answer
 	job.phase = answered
-	for _, waiting := range job.waiters {
-		c.reply(job, waiting)
+	for _, request := range job.requests {
+		c.reply(job, request)
 	}
-	job.waiters = nil
+	job.requests = nil
 }
 
-func (c *Coordinator) reply(job *job, to waiting) {
+func (c *Coordinator) reply(job *job, to request) {
 	if to.caller {
 		c.recordEvent(recorder.JobAnswered, job, "", "", recorder.AnswerDetail(job.answer))
 	}
--- a/entry/requester/requester.go
+++ b/entry/requester/requester.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	mailboxSize    = 4096
-	silenceTimeout = 400 * time.Millisecond
+	mailboxSize = 4096
+	idleTimeout = 400 * time.Millisecond
 )
 
 // Requester calls the leading controller. Exported fields are set before Run.
@@ -36,7 +36,7 @@
 func (r *Requester) Open() {
 	r.mailbox = looper.NewMailbox[event](mailboxSize)
 	r.locator = &locator.Locator[*encoder.QueueReplies, *encoder.QueueCalls]{
-		Seeds: r.Seeds, Credentials: r.Credentials, IdleTimeout: silenceTimeout,
+		Seeds: r.Seeds, Credentials: r.Credentials, IdleTimeout: idleTimeout,
 		Open: func(ctx context.Context, conn *grpc.ClientConn) (locator.Stream[*encoder.QueueReplies, *encoder.QueueCalls], error) {
 			return encoder.NewQueueKeeperClient(conn).Call(ctx)
 		},
@@ -74,7 +74,8 @@
 	return r.locator.KnownControllers()
 }
 
-// Call returns the reply, ErrUnsent or ErrUnanswered at the deadline, or the context's error.
+// Call sends a call and returns the reply. It fails with ErrUnsent or ErrUnanswered at the deadline, or earlier if there is
+// no leader, and with the cause of ctx if ctx ends first.
 func (r *Requester) Call(ctx context.Context, call specifier.QueueCall, deadline time.Time) (specifier.QueueReply, error) {
 	replyTo := make(chan answer, 1)
 	if err := r.mailbox.Send(ctx, callStarted{call: call, deadline: deadline, replyTo: replyTo}); err != nil {
