--- a/controller/dispatcher/call.go
+++ b/controller/dispatcher/call.go
@@ -7,9 +7,9 @@
 	"oleandertally/core/specifier"
 )
 
-// askTimeout is how long a query for the state of a job waits while the job may end at any moment. Callers ask when their job should
-// have ended, and would otherwise learn of the end one poll later. Recording an end takes less time.
-const askTimeout = 40 * time.Millisecond
+// queryTimeout is how long a query for the state of a job waits while the job may end at any moment. Callers send the query when their
+// job should have ended, and would otherwise learn of the end one poll later. Recording an end takes less time.
+const queryTimeout = 40 * time.Millisecond
 
 // unavailable is the reply of a controller that does not lead; another controller may be able to answer.
 var unavailable = specifier.QueueReply{Result: specifier.QueueUnavailable, Detail: "this controller does not lead"}
@@ -45,7 +45,7 @@
 	case specifier.SubmitQueued:
 		d.submit(from, event.Call, queue, id)
 	case specifier.QueryQueued:
-		d.askState(from, queue, id)
+		d.queryState(from, queue, id)
 	case specifier.CancelQueued:
 		d.cancel(from, queue, id)
 	default:
@@ -76,8 +76,8 @@
 	d.reply(from, specifier.QueueReply{Result: specifier.QueueOK, Document: manifest.Document})
 }
 
-// askState replies with the state of a job, or without an ID with the number of jobs of the queue that have not started.
-func (d *Dispatcher) askState(from waiter, queue specifier.Queue, id string) {
+// queryState replies with the state of a job, or without an ID with the number of jobs of the queue that have not started.
+func (d *Dispatcher) queryState(from waiter, queue specifier.Queue, id string) {
 	if id == "" {
 		pending := 0
 		for _, j := range d.jobs {
@@ -98,7 +98,7 @@
 		state = specifier.JobRunning
 	}
 	if j := d.jobs[id]; j != nil && !state.Ended() && j.mayEnd() {
-		until := d.now.Add(askTimeout)
+		until := d.now.Add(queryTimeout)
 		j.watchers = append(j.watchers, watcher{from: from, until: until})
 		d.wake(until, timer{job: j})
 		return
@@ -106,7 +106,7 @@
 	d.reply(from, specifier.QueueReply{Result: specifier.QueueOK, State: state})
 }
 
-// expireWatchers answers the waiting queries for a job's state that have waited for askTimeout.
+// expireWatchers answers the waiting queries for a job's state that have waited for queryTimeout.
 func (d *Dispatcher) expireWatchers(j *job) {
 	for len(j.watchers) > 0 && !d.now.Before(j.watchers[0].until) {
 		d.reply(j.watchers[0].from, specifier.QueueReply{Result: specifier.QueueOK, State: specifier.JobRunning})
--- a/controller/dispatcher/dispatcher.go
+++ b/controller/dispatcher/dispatcher.go
@@ -146,7 +146,7 @@
 }
 
 // countedOrder returns the order to an agent for a start or a stop, and counts it. Reports carry the count of the orders that
-// the agent has received, so that a run whose start is still under way is not taken for lost.
+// the agent has received, so that a run whose start is still under way is not considered lost.
 func (d *Dispatcher) countedOrder(a *agent) *specifier.LeaseOrder {
 	order := d.orderTo(a)
 	if len(order.Starts) == 0 && len(order.Stops) == 0 {
--- a/controller/dispatcher/dispatcher_test.go
+++ b/controller/dispatcher/dispatcher_test.go
@@ -151,15 +151,15 @@
 }
 
 // Guards against a caller that learns of the end of its job only with its next poll, because its query came just before the end.
-func TestQuestionAtTheEnd(t *testing.T) {
-	ask := func(f *fixture) {
+func TestQueryJustBeforeTheEnd(t *testing.T) {
+	query := func(f *fixture) {
 		f.step(CallReceived{Stream: caller, Sequence: 50, Call: specifier.QueueCall{Verb: specifier.QueryQueued, Host: "h", Path: "/q/a"}})
 	}
 	t.Run("the job ends", func(t *testing.T) {
 		f := newFixture(t, 1)
 		f.submit("a", 1, false)
 		key := f.starts()[0].Key
-		ask(f)
+		query(f)
 		must.SliceEmpty(t, find[Reply](f.actions))
 		f.report(1, func(report *specifier.LeaseReport) {
 			report.Ends, report.Runs = []specifier.RunEnd{{Number: 1, Key: key, Kind: specifier.EndDone}}, nil
@@ -169,14 +169,14 @@
 	t.Run("the job goes on", func(t *testing.T) {
 		f := newFixture(t, 1)
 		f.submit("a", 1, false)
-		ask(f)
-		f.advance(askTimeout)
+		query(f)
+		f.advance(queryTimeout)
 		must.Eq(t, specifier.JobRunning, f.mustReply(specifier.QueueOK).State)
 	})
 	t.Run("a task waits for resources", func(t *testing.T) {
 		f := newFixture(t, 1)
 		f.submit("a", 3, false)
-		ask(f)
+		query(f)
 		must.Eq(t, specifier.JobRunning, f.mustReply(specifier.QueueOK).State)
 	})
 }
@@ -188,19 +188,19 @@
 		f.step(CallReceived{Stream: caller, Sequence: 1, Call: specifier.QueueCall{Verb: specifier.SubmitQueued, Host: "h", Path: "/q/a",
 			Job: specifier.QueuedJob{Transient: true, Steps: []specifier.Step{step}}}})
 	}
-	t.Run("of its label only", func(t *testing.T) {
+	t.Run("label", func(t *testing.T) {
 		f := newFixture(t, 2)
 		submit(f, specifier.Step{Count: 1, Label: "special"})
 		must.SliceEmpty(t, f.starts())
 		f.report(2, func(report *specifier.LeaseReport) { report.Worker.Labels = []string{"special"} })
 		must.SliceLen(t, 1, f.starts())
 	})
-	t.Run("so many on one", func(t *testing.T) {
+	t.Run("limit per worker", func(t *testing.T) {
 		f := newFixture(t, 2)
 		submit(f, specifier.Step{Count: 5, PerWorker: 1})
 		must.SliceLen(t, 2, f.starts())
 	})
-	t.Run("of its pool only", func(t *testing.T) {
+	t.Run("pool", func(t *testing.T) {
 		f := newFixture(t, 1)
 		f.report(1, func(report *specifier.LeaseReport) { report.Worker.Pool = "other" })
 		submit(f, specifier.Step{Count: 1})
--- a/controller/dispatcher/end.go
+++ b/controller/dispatcher/end.go
@@ -29,7 +29,7 @@
 		}
 		return
 	}
-	// The end of a run that an earlier leader started counts as well while the task has no other run.
+	// During recovery, the run of an earlier leader is current too if its task has no other run.
 	current := r != nil && t.run == r || t.run == nil && (t.state == taskReady || t.state == taskBlocked) && !d.recoveryUntil.IsZero()
 	counts := end.Kind == specifier.EndDone || end.Kind == specifier.EndFailed && (current || !t.job.Transient)
 	if t.state == taskDone || !current && !counts {
@@ -91,7 +91,7 @@
 	d.propose(specifier.QueueCommand{Ends: []specifier.TaskEnd{recording}})
 }
 
-// updateHealth updates the worker's health by the end of a run, and logs the end.
+// updateHealth updates the worker's health from the end of a run, and logs the end.
 func (d *Dispatcher) updateHealth(a *agent, t *task, r *run, end specifier.RunEnd) {
 	age := d.now.Sub(t.job.arrived)
 	switch end.Kind {
--- a/controller/dispatcher/end_test.go
+++ b/controller/dispatcher/end_test.go
@@ -18,19 +18,19 @@
 }
 
 // reportEnd reports one end from agent 1, and returns the actions before anything is recorded.
-func (f *fixture) reportEnd(number uint64, key specifier.RunKey, how specifier.EndKind) []Action {
+func (f *fixture) reportEnd(number uint64, key specifier.RunKey, kind specifier.EndKind) []Action {
 	return f.d.Step(f.now, ReportReceived{Stream: 1, Report: specifier.LeaseReport{Agent: agentName(1), Incarnation: 1,
-		Ends: []specifier.RunEnd{{Number: number, Key: key, Kind: how}}}})
+		Ends: []specifier.RunEnd{{Number: number, Key: key, Kind: kind}}}})
 }
 
-func (f *fixture) recordEnd(key specifier.RunKey, how specifier.EndKind) []Action {
+func (f *fixture) recordEnd(key specifier.RunKey, kind specifier.EndKind) []Action {
 	_, step, index, _ := splitTask(key.Task)
-	return f.d.Step(f.now, Applied{specifier.QueueCommand{Ends: []specifier.TaskEnd{{Job: jobOf(key.Task), Step: step, Index: index, Run: key.Run, Kind: how}}}})
+	return f.d.Step(f.now, Applied{specifier.QueueCommand{Ends: []specifier.TaskEnd{{Job: jobOf(key.Task), Step: step, Index: index, Run: key.Run, Kind: kind}}}})
 }
 
 // Guards against a recorded job that never ends because the log rejected the end of its last task: a leader whose lease has lapsed
 // for a moment rejects commands and then goes on leading.
-func TestEndThatTheLogDidNotTake(t *testing.T) {
+func TestEndThatTheLogRejected(t *testing.T) {
 	f := newFixture(t, 1)
 	f.submit("a", 1, false)
 	key := f.starts()[0].Key
--- a/controller/dispatcher/logevent.go
+++ b/controller/dispatcher/logevent.go
@@ -11,7 +11,7 @@
 	Agent  string
 	Queue  string
 	Detail string
-	Age    time.Duration // since the job arrived, the run started or the agent last renewed; of JobArrived the critical path
+	Age    time.Duration // since the job arrived, the run started or the agent last renewed; for JobArrived, the critical path
 	// Count is, for a job, its tasks that are not done; JobRefused: tasks in the ready queue; ManifestInForce: the version;
 	// QueuesLed and AgentsListed: agents; AgentLost: runs.
 	Count int
--- a/controller/dispatcher/orphan_test.go
+++ b/controller/dispatcher/orphan_test.go
@@ -33,7 +33,7 @@
 
 // Guards against a second run of a task when its caller resubmits the abandoned job just as the job is deleted and the first run is
 // being stopped.
-func TestAbandonedJobComesBack(t *testing.T) {
+func TestAbandonedJobIsResubmitted(t *testing.T) {
 	f := newFixture(t, 2)
 	f.estimate = time.Minute // so that the run is not stopped as stalled
 	f.submit("a", 1, true)
--- a/controller/dispatcher/placement.go
+++ b/controller/dispatcher/placement.go
@@ -12,8 +12,8 @@
 	maxMisses = 24
 	// latePenalty is added to the key of a task that can no longer end in time, to order it behind those that can.
 	latePenalty = 10 * time.Second
-	// An estimate divided by estimateMarginDivisor, and startMargin for messages, are kept in reserve: a task that would only just end in
-	// time mostly ends late, and delays a task that has time.
+	// A task should start early enough to leave a margin of its estimate divided by estimateMarginDivisor, plus startMargin for messages:
+	// a task that would only just end in time mostly ends late, and delays a task that has time.
 	estimateMarginDivisor = 4
 	startMargin           = 12 * time.Millisecond
 	// runTermFactor multiplies the term in the number of a run, so that a later leader's numbers are always higher.
@@ -58,7 +58,7 @@
 			d.ready.removeAt(at)
 			d.waitingTasks--
 			if t.state == taskReady && !t.job.ended && !t.job.cancelled {
-				t.state = taskBlocked // a resubmission releases it again
+				t.state = taskBlocked // until the job is resubmitted
 			}
 			continue
 		case entry.key.Before(d.now) && d.key(t).After(d.now):
@@ -130,7 +130,7 @@
 	t.state, t.run = taskPlaced, r
 	t.job.started = true
 	d.emit(LogEvent{Event: "TaskStarted", Job: t.job.ID, Task: t.name, Run: r.key.Run, Agent: a.name, Age: d.now.Sub(t.job.arrived)})
-	d.scheduleStuckCheck(r)
+	d.scheduleStallCheck(r)
 }
 
 // stop orders the agent to stop a run. The run's resources stay in use until its end is reported.
@@ -145,18 +145,18 @@
 }
 
 const (
-	// A run is taken for stalled after stuckFactor times its estimate plus stuckFloor.
-	stuckFactor = 12
-	stuckFloor  = 300 * time.Millisecond
+	// A run is considered stalled after stallFactor times its estimate plus stallFloor.
+	stallFactor = 12
+	stallFloor  = 300 * time.Millisecond
 )
 
-// scheduleStuckCheck schedules a check of a run for the time when the run is taken for stalled.
-func (d *Dispatcher) scheduleStuckCheck(r *run) {
+// scheduleStallCheck schedules a check of a run for the time from which the run is considered stalled.
+func (d *Dispatcher) scheduleStallCheck(r *run) {
 	if r.task == nil {
 		return
 	}
 	estimate := r.task.job.Steps[r.task.step].Estimate
-	r.checkAt = d.now.Add(stuckFactor*estimate + stuckFloor)
+	r.checkAt = d.now.Add(stallFactor*estimate + stallFloor)
 	d.wake(r.checkAt, timer{run: r})
 }
 
--- a/controller/dispatcher/report.go
+++ b/controller/dispatcher/report.go
@@ -41,8 +41,8 @@
 	d.acknowledge(a)
 }
 
-// enroll records an agent in the roster before the first task is started there, and removes it when its worker leaves and runs no
-// task any more. A new leader waits for the agents of the roster.
+// enroll proposes to enroll an agent before the first task is started there, and to dismiss it when its worker leaves and runs no task
+// any more. A new leader waits for the enrolled agents.
 func (d *Dispatcher) enroll(a *agent) {
 	if a.enrolling || !d.Leading(d.now) {
 		return
@@ -142,9 +142,9 @@
 // reconcileRuns compares the runs that an agent listed with those that it was ordered to start.
 func (d *Dispatcher) reconcileRuns(a *agent, report specifier.LeaseReport) {
 	a.listed = true
-	seen := report.LastOrder
+	lastOrder := report.LastOrder
 	if report.Token != d.fence(a) {
-		seen = 0 // the count is of orders of an earlier leader, or of this one in an earlier term
+		lastOrder = 0 // the agent counted orders of an earlier leader, or of this one in an earlier term
 	}
 	listed := make(map[specifier.RunKey]bool, len(report.Runs))
 	for _, each := range report.Runs {
@@ -158,7 +158,7 @@
 		d.addListedRun(a, each)
 	}
 	for _, r := range a.sortedRuns() {
-		if a.settled && !listed[r.key] && r.order <= seen {
+		if a.settled && !listed[r.key] && r.order <= lastOrder {
 			d.loseRun(r, specifier.EndLeaseExpired)
 		}
 	}
@@ -207,7 +207,7 @@
 }
 
 // loseRun removes a run that reported no end, because its worker or its lease is lost or because it never started.
-func (d *Dispatcher) loseRun(r *run, how specifier.EndKind) {
+func (d *Dispatcher) loseRun(r *run, kind specifier.EndKind) {
 	r.agent.remove(r)
 	if d.orphans[r.key.Task] == r {
 		delete(d.orphans, r.key.Task)
@@ -216,7 +216,7 @@
 	if t == nil || t.run != r || t.state != taskPlaced {
 		return
 	}
-	d.emit(LogEvent{Event: "TaskLost", Job: t.job.ID, Task: t.name, Run: r.key.Run, Agent: r.agent.name, Detail: how.String(), Age: d.now.Sub(r.startedAt)})
+	d.emit(LogEvent{Event: "TaskLost", Job: t.job.ID, Task: t.name, Run: r.key.Run, Agent: r.agent.name, Detail: kind.String(), Age: d.now.Sub(r.startedAt)})
 	d.enqueue(t)
 }
 
--- a/controller/dispatcher/run.go
+++ b/controller/dispatcher/run.go
@@ -14,6 +14,6 @@
 	task      *task  // nil while no job claims it
 	order     uint64 // count of the order that started it; 0 when the agent listed it or has reconnected since
 	startedAt time.Time
-	checkAt   time.Time // when it has been unclaimed for too long or is taken for stalled
+	checkAt   time.Time // when it has been unclaimed for too long or is considered stalled
 	stopping  bool
 }
--- a/controller/dispatcher/submit.go
+++ b/controller/dispatcher/submit.go
@@ -93,7 +93,7 @@
 	r.agent.setResources(r, t.job.Steps[t.step].Resources)
 	t.job.started = true
 	d.emit(LogEvent{Event: "RunAdopted", Job: t.job.ID, Task: t.name, Run: r.key.Run, Agent: r.agent.name})
-	d.scheduleStuckCheck(r)
+	d.scheduleStallCheck(r)
 }
 
 // enqueueUnblocked queues the blocked tasks of every step whose earlier steps are done.
--- a/controller/dispatcher/timer.go
+++ b/controller/dispatcher/timer.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// timer is a deadline of a job, an agent or a run, which decides on expiry what is due.
+// timer is a deadline of a job, an agent or a run. A timer without any of these is set only for the
+// work that flush does at each step.
 type timer struct {
 	at    time.Time
 	job   *job
