--- a/controller/dispatcher/timer.go
+++ b/controller/dispatcher/timer.go
@@ -2,8 +2,7 @@
 
 import "time"
 
-// timer is a deadline of a job, an agent or a run. A timer without any of these is set only for the
-// work that flush does at each step.
+// timer is a deadline of a job, an agent or a run. A timer without any of these only causes a call of Expire, which ends with flush.
 type timer struct {
 	at    time.Time
 	job   *job
