--- a/controller/sequencer/quota.go
+++ b/controller/sequencer/quota.go
@@ -10,7 +10,7 @@
 )
 
 // shares grants an entry its share of each service's slots, for the duration of its lease. The shares that
-// one leader grants never exceed the slots. For one lease after a change of leader the former leader's
+// one leader grants never exceed the slots. For the duration of one lease after a change of leader, the former leader's
 // shares are still in force, so that up to twice the slots may be granted.
 func (s *Sequencer) shares(now time.Time, sess *session) []specifier.ServiceShare {
 	var granted []specifier.ServiceShare
--- a/controller/sequencer/sequencer.go
+++ b/controller/sequencer/sequencer.go
@@ -48,8 +48,8 @@
 	clockAdvancedAt time.Time // time up to which batches advanced the replicated clock
 	sessions        map[Stream]*session
 	leases          map[specifier.Identity]time.Time
-	expirations     container.Heap[lease]              // every grant, also those that were renewed since
-	ending          map[specifier.Identity]bool        // an EndMember command waits for the log or is in it
+	expirations     container.Heap[lease]              // every grant, including those that were renewed since
+	ending          map[specifier.Identity]bool        // members whose EndMember command waits for the log or is in it
 	lessors         map[string]*limiter.Lessor[string] // by service
 	changes         []change
 	changesSince    uint64 // changes holds every change after this version of the membership
--- a/controller/sequencer/sequencer_test.go
+++ b/controller/sequencer/sequencer_test.go
@@ -117,7 +117,7 @@
 		must.SliceEmpty(t, f.submitted)
 		mustState(t, f, "worker", specifier.Up)
 	})
-	t.Run("a new leader grants a whole one", func(t *testing.T) {
+	t.Run("a new leader grants a full one", func(t *testing.T) {
 		f := newFixture(t)
 		f.join(1, member(specifier.Agent, "worker"))
 		f.now = f.now.Add(lease - time.Millisecond)
@@ -142,7 +142,7 @@
 
 // Guards against a command that gets no reply when the leadership is lost, and against a second reply when another leader's entry is
 // committed at the same index.
-func TestLostLead(t *testing.T) {
+func TestLostLeadership(t *testing.T) {
 	f := newFixture(t)
 	for i := range 10 {
 		f.step(sequencer.Proposed{Stream: 1, Sequence: uint64(i + 1), Command: accept(i, "entry")})
