--- a/controller/driver/new.go
+++ b/controller/driver/new.go
@@ -10,7 +10,7 @@
 // New connects a log, a sequencer and a dispatcher. The caller sets their other exported fields and those of the driver.
 func New(node *replicator.Node, control *sequencer.Sequencer, queues *dispatcher.Dispatcher) *Driver {
 	control.Leading, control.Size = node.Leading, size
-	control.MaxBytes = node.Settings.MaxEntry - itemOverhead
+	control.MaxBytes = node.Settings.MaxEntry - commandOverhead
 	if control.MaxBatch <= 0 || control.MaxBatch > specifier.MaxBatch {
 		control.MaxBatch = specifier.MaxBatch
 	}
--- a/controller/driver/prune.go
+++ b/controller/driver/prune.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// prune removes a learner, or else a voter, that was unreachable for VoterTimeout; a voter only while enough others are left. A
+// prune removes a learner, or else a voter, that was unreachable for VoterTimeout. A voter is removed only while enough others are left. A
 // permanently lost machine that stays a voter would count against the majority together with the next machine that is lost.
 func (d *Driver) prune(now time.Time) {
 	d.pruneAt = now.Add(pruneInterval)
@@ -28,7 +28,7 @@
 		return
 	}
 	voters := 0
-	var dead replicator.ServerID
+	var target replicator.ServerID
 	learner := false
 	peers := d.Node.Peers()
 	for _, server := range d.servers {
@@ -38,12 +38,12 @@
 		unreachable := slices.ContainsFunc(peers, func(peer replicator.PeerStatus) bool {
 			return peer.ID == server.ID && now.Sub(peer.LastContact) > d.VoterTimeout
 		})
-		if unreachable && (dead.IsZero() || !server.Voter) {
-			dead, learner = server.ID, !server.Voter
+		if unreachable && (target.IsZero() || !server.Voter) {
+			target, learner = server.ID, !server.Voter
 		}
 	}
-	if dead.IsZero() || !learner && voters <= max(d.MinVoters, 2) {
+	if target.IsZero() || !learner && voters <= max(d.MinVoters, 2) {
 		return
 	}
-	d.perform(now, d.Node.Step(now, replicator.RemoveServer{Ticket: pruneTicket, ID: dead}))
+	d.perform(now, d.Node.Step(now, replicator.RemoveServer{Ticket: pruneTicket, ID: target}))
 }
--- a/controller/driver/size.go
+++ b/controller/driver/size.go
@@ -7,8 +7,8 @@
 	"oleandertally/core/specifier"
 )
 
-// itemOverhead is an upper bound of what a batch adds to each of its commands, in bytes.
-const itemOverhead = 16
+// commandOverhead is an upper bound of what a batch adds to each of its commands, in bytes.
+const commandOverhead = 16
 
 // size returns the encoded size of a command. It also decodes the command, because one that can be encoded but not decoded
 // would stop every replica that applies it.
@@ -17,5 +17,5 @@
 	if _, err := encoder.DecodeCommand(message); err != nil {
 		return 0, err
 	}
-	return proto.Size(message) + itemOverhead, nil
+	return proto.Size(message) + commandOverhead, nil
 }
