--- a/state/registrar/submissions.go
+++ b/state/registrar/submissions.go
@@ -134,7 +134,7 @@
 	return r.finishedDecision(record)
 }
 
-// refusalOver reports whether a refused key may be accepted again.
+// refusalExpired reports whether a refused key may be accepted again.
 func (r *Registrar) refusalExpired(record submission) bool {
 	return record.phase == refused && record.refusedUntil.reached(r.now)
 }
--- a/state/registrar/submissions_test.go
+++ b/state/registrar/submissions_test.go
@@ -111,7 +111,7 @@
 			f.mustDecide(specifier.Accepted, takeOver(1, secondEntry, 1))
 			must.Eq(f.t, secondEntry, f.mustDecide(specifier.Attached, accept(1, secondEntry)).Owner)
 		},
-		"departures outlive a late take-over": func(f *fixture) {
+		"departures outlive a late takeover": func(f *fixture) {
 			f.mustDecide(specifier.Accepted, accept(1, firstEntry))
 			f.mustDecide(specifier.Applied, specifier.EndMember{Identity: agent})
 			owners := []specifier.Identity{firstEntry, secondEntry, identity("entry-3", 5), identity("entry-4", 6)}
--- a/state/replicator/fault_test.go
+++ b/state/replicator/fault_test.go
@@ -171,8 +171,8 @@
 	must.Eq(t, before, c.now)
 }
 
-// Guards against a leader whose disk hangs but which keeps the leadership because its heartbeats still arrive.
-func TestLeaderWithHangingDiskHandsOver(t *testing.T) {
+// Guards against a leader whose disk is stalled but which keeps the leadership because its heartbeats still arrive.
+func TestLeaderWithStalledDiskTransfersLeadership(t *testing.T) {
 	c, old := startCluster(t, 3)
 	c.propose(old)
 	for end := c.now.Add(2 * time.Second); c.now.Before(end); c.advance(50 * time.Millisecond) {
--- a/state/replicator/lead.go
+++ b/state/replicator/lead.go
@@ -78,7 +78,7 @@
 }
 
 // diskStalled reports whether the oldest disk write has been pending for an election timeout or longer. Proposals wait for the
-// leader's own disk, so a leader with a hanging disk would stop the cluster although it still sends heartbeats.
+// leader's own disk, so a leader with a stalled disk would stop the cluster although it still sends heartbeats.
 func (n *Node) diskStalled() bool {
 	return len(n.pendingWrites) > 0 && !n.now.Before(n.pendingWrites[0].issuedAt.Add(n.Settings.ElectionTimeout))
 }
