--- a/core/container/doc.go
+++ b/core/container/doc.go
@@ -1,2 +1,2 @@
-// Package container holds generic containers.
+// Package container holds generic containers: a heap, a queue, a ring buffer and an interner.
 package container
--- a/core/looper/doc.go
+++ b/core/looper/doc.go
@@ -1,2 +1,3 @@
-// Package looper carries typed events to the one goroutine that owns a process's control state.
+// Package looper runs the state machine of a process on one control goroutine. Traffic goroutines send events to it through a
+// Mailbox and take work from it through an Outbox.
 package looper
--- a/core/specifier/jobid.go
+++ b/core/specifier/jobid.go
@@ -6,14 +6,14 @@
 )
 
 // JobID identifies a submission: a hash of its team and idempotency key, so that every
-// entry derives the same id from the same request.
+// entry derives the same ID from the same request.
 type JobID [16]byte
 
-// NewJobID derives the id of the submission that team made under key.
+// NewJobID derives the ID of the submission that team made under key.
 func NewJobID(team, key string) JobID {
 	sum := sha256.Sum256([]byte(team + "\x00" + key))
 	return JobID(sum[:16])
 }
 
-// String returns the id as 32 hexadecimal digits.
+// String returns the ID as 32 hexadecimal digits.
 func (id JobID) String() string { return hex.EncodeToString(id[:]) }
