--- a/entry/responder/gate.go
+++ b/entry/answerer/gate.go
@@ -1,4 +1,4 @@
-package responder
+package answerer
 
 // Gate limits the number of concurrent requests. Use NewGate.
 type Gate struct {
--- a/entry/responder/handler.go
+++ b/entry/answerer/handler.go
@@ -1,4 +1,4 @@
-package responder
+package answerer
 
 import (
 	"context"
--- a/entry/runner/entry.go
+++ b/entry/runner/entry.go
@@ -27,9 +27,9 @@
 	"oleandertally/core/specifier"
 	"oleandertally/core/supervisor"
 	"oleandertally/dispatch/scheduler"
+	"oleandertally/entry/answerer"
 	"oleandertally/entry/connector"
 	"oleandertally/entry/coordinator"
-	"oleandertally/entry/responder"
 )
 
 // mailboxSize is the maximum number of events queued for the control goroutine.
@@ -67,7 +67,7 @@
 	needs        atomic.Pointer[[]specifier.ServiceShare]
 	mailbox      *looper.Mailbox[coordinator.Event]
 	drained      chan struct{}
-	waiters      *responder.Waiters
+	waiters      *answerer.Waiters
 	proposer     *connector.Proposer
 	agents       *connector.Agents
 	asker        *connector.Asker
@@ -103,7 +103,7 @@
 	e.mailbox = looper.NewMailbox[coordinator.Event](mailboxSize)
 	e.drained = make(chan struct{}, 1)
 	e.leave, e.sessionEnded = make(chan struct{}), make(chan struct{})
-	e.waiters = &responder.Waiters{}
+	e.waiters = &answerer.Waiters{}
 	e.lease = registrant.NewLease()
 	e.pools = newPools(e.Security, int(e.Settings.MaxMessage), &exporter.Bytes{Member: e.Metrics.Member}, e.Stats)
 	e.Health.Probe = e.probe
@@ -122,16 +122,16 @@
 // serve sets up both servers.
 func (e *Entry) serve() {
 	limits := e.Settings.Limits
-	handler := &responder.Handler{Sink: e.mailbox, Waiters: e.waiters, Clock: time.Now, Admit: e.Security.CheckAnyTeam,
+	handler := &answerer.Handler{Sink: e.mailbox, Waiters: e.waiters, Clock: time.Now, Admit: e.Security.CheckAnyTeam,
 		Authorize: e.Security.CheckTeam, MaxBody: int64(limits.MaxBody), BodyTimeout: limits.BodyTimeout,
-		Requests: responder.NewGate(limits.MaxRequests),
+		Requests: answerer.NewGate(limits.MaxRequests),
 		Refused:  func(answer specifier.Answer) { e.Metrics.Answered(answer.Outcome, answer.Reason) }}
 	e.web = &http.Server{Handler: handler.Routes(), ReadHeaderTimeout: limits.HeaderTimeout, MaxHeaderBytes: 16 << 10}
 	if config := e.Security.CallerTLS(); config != nil {
 		e.callers = tls.NewListener(e.callers, config)
 	}
 	e.server = dialer.NewGuardedServer(e.Security.ServerOptions(guard, e.Settings.MaxMessage)...)
-	encoder.RegisterPeerServer(e.server, &responder.Peer{Sink: e.mailbox, Waiters: e.waiters})
+	encoder.RegisterPeerServer(e.server, &answerer.Peer{Sink: e.mailbox, Waiters: e.waiters})
 	encoder.RegisterTimelineServer(e.server, &operator.Timeline{Buffer: e.Events})
 }
 
--- a/local/deployer/copies_test.go
+++ b/local/deployer/copies_test.go
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 
 	"oleandertally/core/specifier"
-	"oleandertally/entry/responder"
+	"oleandertally/entry/answerer"
 	"oleandertally/local/submitter"
 )
 
@@ -89,7 +89,7 @@
 	h := newHarness(t, newStartWatch(startsBeforeKill))
 	body, err := json.Marshal(submitter.NewSubmission(newJob("hold", tasks, 200*time.Millisecond)))
 	must.NoError(t, err)
-	responses := make([]responder.Response, jobs)
+	responses := make([]answerer.Response, jobs)
 	var group sync.WaitGroup
 	for i := range jobs {
 		group.Go(func() { responses[i] = h.submitUntilAnswered(i, fmt.Sprintf("job-%d", i), body) })
@@ -97,7 +97,7 @@
 	h.awaitStarts()
 	killLeader(h)
 	// These jobs arrive while there is no leader.
-	lateResponses := make([]responder.Response, jobs)
+	lateResponses := make([]answerer.Response, jobs)
 	for i := range jobs {
 		group.Go(func() { lateResponses[i] = h.submitUntilAnswered(i, fmt.Sprintf("late-%d", i), body) })
 	}
@@ -111,7 +111,7 @@
 }
 
 // mustCompleteOnce checks that all copies got the same complete answer and that each task started once.
-func mustCompleteOnce(h *harness, responses []responder.Response) {
+func mustCompleteOnce(h *harness, responses []answerer.Response) {
 	h.t.Helper()
 	answer := h.mustAgree(responses)
 	must.Eq(h.t, specifier.Complete, answer.Outcome, must.Sprint(answer.Reason, answer.Detail))
--- a/local/deployer/harness_test.go
+++ b/local/deployer/harness_test.go
@@ -18,7 +18,7 @@
 	"oleandertally/core/recorder"
 	"oleandertally/core/specifier"
 	"oleandertally/core/verifier"
-	"oleandertally/entry/responder"
+	"oleandertally/entry/answerer"
 	"oleandertally/local/deployer"
 	"oleandertally/local/emulator"
 	"oleandertally/local/submitter"
@@ -101,26 +101,26 @@
 func jobID(key string) specifier.JobID { return specifier.NewJobID(teamName, key) }
 
 // submitUntilAnswered submits a job until it is answered, and changes the entry whenever a connection breaks.
-func (h *harness) submitUntilAnswered(entry int, key string, body []byte) responder.Response {
+func (h *harness) submitUntilAnswered(entry int, key string, body []byte) answerer.Response {
 	for ; h.ctx.Err() == nil; entry++ {
 		response, _, err := h.sender.Post(h.ctx, entry, key, body)
 		if err == nil {
 			return response
 		}
 	}
-	return responder.Response{}
+	return answerer.Response{}
 }
 
 // submitCopies sends copies of one request through all entries at once. wait returns the answers.
-func (h *harness) submitCopies(key string, job tracer.Job) (wait func() []responder.Response) {
+func (h *harness) submitCopies(key string, job tracer.Job) (wait func() []answerer.Response) {
 	body, err := json.Marshal(submitter.NewSubmission(job))
 	must.NoError(h.t, err)
-	responses := make([]responder.Response, requestCopies)
+	responses := make([]answerer.Response, requestCopies)
 	var group sync.WaitGroup
 	for i := range requestCopies {
 		group.Go(func() { responses[i] = h.submitUntilAnswered(i, key, body) })
 	}
-	return func() []responder.Response {
+	return func() []answerer.Response {
 		group.Wait()
 		must.NoError(h.t, h.ctx.Err(), must.Func(func() string { return h.timeline(key) }))
 		return responses
@@ -160,7 +160,7 @@
 }
 
 // mustAgree checks that every caller got the same answer, and returns it.
-func (h *harness) mustAgree(responses []responder.Response) responder.Response {
+func (h *harness) mustAgree(responses []answerer.Response) answerer.Response {
 	h.t.Helper()
 	for _, response := range responses {
 		must.Eq(h.t, responses[0], response)
@@ -177,7 +177,7 @@
 }
 
 // mustMatchStarts compares one answer with the upstreams' log of starts.
-func (h *harness) mustMatchStarts(key string, tasks int, response responder.Response) {
+func (h *harness) mustMatchStarts(key string, tasks int, response answerer.Response) {
 	h.t.Helper()
 	switch response.Outcome {
 	case specifier.Complete:
--- a/local/submitter/result.go
+++ b/local/submitter/result.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"oleandertally/entry/responder"
+	"oleandertally/entry/answerer"
 	"oleandertally/replay/tracer"
 )
 
@@ -11,7 +11,7 @@
 type Result struct {
 	Job      tracer.Job
 	Key      string
-	Response responder.Response
+	Response answerer.Response
 	Status   int // of HTTP
 	Took     time.Duration
 	Err      error // why there is no answer
--- a/local/submitter/submitter.go
+++ b/local/submitter/submitter.go
@@ -12,7 +12,7 @@
 	"github.com/cockroachdb/errors"
 	"golang.org/x/sync/errgroup"
 
-	"oleandertally/entry/responder"
+	"oleandertally/entry/answerer"
 	"oleandertally/local/emulator"
 	"oleandertally/replay/tracer"
 )
@@ -60,8 +60,8 @@
 }
 
 // Post sends a request body to an entry and returns the answer and its HTTP status.
-func (s *Submitter) Post(ctx context.Context, entry int, key string, body []byte) (responder.Response, int, error) {
-	var response responder.Response
+func (s *Submitter) Post(ctx context.Context, entry int, key string, body []byte) (answerer.Response, int, error) {
+	var response answerer.Response
 	url := "http://" + s.Entries[entry%len(s.Entries)].String() + "/v1/jobs"
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
@@ -79,11 +79,11 @@
 }
 
 // NewSubmission converts a job of a trace to a request.
-func NewSubmission(job tracer.Job) responder.Submission {
-	submission := responder.Submission{Team: job.Team, Profile: job.Profile, TimeLeft: job.TimeLeft().String()}
+func NewSubmission(job tracer.Job) answerer.Submission {
+	submission := answerer.Submission{Team: job.Team, Profile: job.Profile, TimeLeft: job.TimeLeft().String()}
 	for i := range job.RunMillis {
 		payload, _ := json.Marshal(emulator.Payload{RunMillis: job.RunMillis[i], Fail: job.Poison})
-		submission.Tasks = append(submission.Tasks, responder.SubmittedTask{Id: fmt.Sprintf("t%03d", i), Payload: payload})
+		submission.Tasks = append(submission.Tasks, answerer.SubmittedTask{Id: fmt.Sprintf("t%03d", i), Payload: payload})
 	}
 	return submission
 }
