--- a/core/merger/lines.go
+++ b/core/merger/lines.go
@@ -49,8 +49,8 @@
 func refusalText(answer Entry) string {
 	answered := recorder.ParseAnswer(answer.Detail)
 	text := string(answered.Reason)
-	if answered.Note != "" {
-		text += ": " + answered.Note
+	if answered.Detail != "" {
+		text += ": " + answered.Detail
 	}
 	when := "before acceptance"
 	if answer.Epoch > 0 {
--- a/core/merger/render_test.go
+++ b/core/merger/render_test.go
@@ -53,7 +53,7 @@
 }
 
 func (w *world) answer(ms int, entry string, job specifier.JobID, epoch specifier.Epoch, answer specifier.Answer) {
-	w.add(ms, entry, recorder.Event{Kind: recorder.JobAnswered, Job: job, Epoch: epoch, Detail: recorder.AnswerDetail(answer)})
+	w.add(ms, entry, recorder.Event{Kind: recorder.JobAnswered, Job: job, Epoch: epoch, Detail: recorder.FormatAnswer(answer)})
 }
 
 // waited is a job of two tasks of which one waits long in an agent's queue.
--- a/core/recorder/answered.go
+++ b/core/recorder/parsedanswer.go
@@ -6,15 +6,15 @@
 	"oleandertally/core/specifier"
 )
 
-// Answered is the content of the Detail of a JobAnswered event.
-type Answered struct {
+// ParsedAnswer is the content of the Detail of a JobAnswered event.
+type ParsedAnswer struct {
 	Outcome specifier.Outcome
 	Reason  specifier.Reason // empty when Complete
-	Note    string           // for people
+	Detail    string           // for people
 }
 
-// AnswerDetail returns the Detail of a JobAnswered event: outcome, reason and the answer's detail.
-func AnswerDetail(answer specifier.Answer) string {
+// FormatAnswer returns the Detail of a JobAnswered event: outcome, reason and the answer's detail.
+func FormatAnswer(answer specifier.Answer) string {
 	text := string(answer.Outcome)
 	if answer.Reason != "" {
 		text += " " + string(answer.Reason)
@@ -25,9 +25,9 @@
 	return text
 }
 
-// ParseAnswer reads what AnswerDetail wrote.
-func ParseAnswer(detail string) Answered {
+// ParseAnswer reads what FormatAnswer wrote.
+func ParseAnswer(detail string) ParsedAnswer {
 	head, note, _ := strings.Cut(detail, ": ")
 	outcome, reason, _ := strings.Cut(head, " ")
-	return Answered{Outcome: specifier.Outcome(outcome), Reason: specifier.Reason(reason), Note: note}
+	return ParsedAnswer{Outcome: specifier.Outcome(outcome), Reason: specifier.Reason(reason), Detail: note}
 }
--- a/core/recorder/answered_test.go
+++ b/core/recorder/parsedanswer_test.go
@@ -10,8 +10,8 @@
 
 func assertAnswered(t *testing.T, answer specifier.Answer) {
 	t.Helper()
-	want := Answered{Outcome: answer.Outcome, Reason: answer.Reason, Note: answer.Detail}
-	must.Eq(t, want, ParseAnswer(AnswerDetail(answer)))
+	want := ParsedAnswer{Outcome: answer.Outcome, Reason: answer.Reason, Detail: answer.Detail}
+	must.Eq(t, want, ParseAnswer(FormatAnswer(answer)))
 }
 
 // Guards against a writer and a reader of the answer's detail that disagree.
--- a/core/verifier/contradiction.go
+++ b/core/verifier/contradiction.go
@@ -38,7 +38,7 @@
 
 // isUndecided reports whether a failure says only that this entry has no answer: another entry
 // may still complete the job, or may have.
-func isUndecided(a recorder.Answered) bool {
+func isUndecided(a recorder.ParsedAnswer) bool {
 	if a.Outcome != specifier.Failed {
 		return false
 	}
--- a/entry/coordinator/coordinator.go
+++ b/entry/coordinator/coordinator.go
@@ -239,7 +239,7 @@
 
 func (c *Coordinator) reply(job *job, to waiting) {
 	if to.caller {
-		c.recordEvent(recorder.JobAnswered, job, "", "", recorder.AnswerDetail(job.answer))
+		c.recordEvent(recorder.JobAnswered, job, "", "", recorder.FormatAnswer(job.answer))
 	}
 	c.actions = append(c.actions, Reply{Waiter: to.waiter, Job: job.spec.ID, Answer: job.answer})
 }
--- a/local/transcriber/perform.go
+++ b/local/transcriber/perform.go
@@ -62,7 +62,7 @@
 	}
 	caller := e.callers[reply.Waiter]
 	delete(e.callers, reply.Waiter)
-	s.say("%s: %s answers %s", caller, e.id.Name, recorder.AnswerDetail(reply.Answer))
+	s.say("%s: %s answers %s", caller, e.id.Name, recorder.FormatAnswer(reply.Answer))
 	for _, result := range reply.Answer.Results {
 		s.say("%s:   %s: %s", caller, result.Task, result.Body)
 	}
