--- a/core/merger/jobcauses.go
+++ b/core/merger/jobcauses.go
@@ -44,7 +44,7 @@
 	proposed := c.ofJob(job, recorder.JobProposed)
 	for _, attached := range c.ofJob(job, recorder.JobAttached) {
 		owner := c.events[attached].Other
-		sent := c.where(proposed, func(e recorder.Event) bool { return owner != "" && recorder.Names(owner, e.Process) })
+		sent := c.where(proposed, func(e recorder.Event) bool { return owner != "" && recorder.RefersTo(owner, e.Process) })
 		if len(sent) > 0 {
 			c.add(sent[0], attached)
 		}
--- a/core/merger/summarizer.go
+++ b/core/merger/summarizer.go
@@ -101,7 +101,7 @@
 	}
 	ofTask := func(e Entry) bool { return e.Task == s.task && e.Epoch == s.assigned.Epoch }
 	for i, entry := range s.entries {
-		if entry.Kind == recorder.TaskQueued && ofTask(entry) && recorder.Names(s.assigned.Other, entry.Process) {
+		if entry.Kind == recorder.TaskQueued && ofTask(entry) && recorder.RefersTo(s.assigned.Other, entry.Process) {
 			s.agent, s.queued = entry.Process, &s.entries[i]
 		}
 	}
@@ -118,7 +118,7 @@
 func (s *summarizer) findRefusal(ofTask func(Entry) bool) *Entry {
 	var refused *Entry
 	for i, entry := range s.entries {
-		if entry.Kind == recorder.TaskRefused && ofTask(entry) && recorder.Names(s.assigned.Other, entry.Process) {
+		if entry.Kind == recorder.TaskRefused && ofTask(entry) && recorder.RefersTo(s.assigned.Other, entry.Process) {
 			refused = &s.entries[i]
 		}
 	}
--- a/core/merger/taskcauses.go
+++ b/core/merger/taskcauses.go
@@ -12,7 +12,7 @@
 	for _, run := range c.byRun(atAgent) {
 		agent := c.events[run[0]]
 		sent := c.where(assigned, func(e recorder.Event) bool {
-			return e.Epoch == agent.Epoch && recorder.Names(e.Other, agent.Process)
+			return e.Epoch == agent.Epoch && recorder.RefersTo(e.Other, agent.Process)
 		})
 		c.pair(sent, c.arrivals(run))
 	}
@@ -66,7 +66,7 @@
 	for _, replies := range c.byRun(replied) {
 		agent := c.events[replies[0]]
 		c.pair(replies, c.where(returned, func(e recorder.Event) bool {
-			return e.Epoch == agent.Epoch && recorder.Names(e.Other, agent.Process)
+			return e.Epoch == agent.Epoch && recorder.RefersTo(e.Other, agent.Process)
 		}))
 	}
 }
@@ -78,7 +78,7 @@
 		return
 	}
 	entry := c.events[results[0]]
-	atPeer := c.where(ended, func(e recorder.Event) bool { return recorder.Names(entry.Other, e.Process) })
+	atPeer := c.where(ended, func(e recorder.Event) bool { return recorder.RefersTo(entry.Other, e.Process) })
 	if len(atPeer) == 1 && c.events[atPeer[0]].Epoch < entry.Epoch {
 		c.add(atPeer[0], results[0])
 	}
--- a/core/recorder/filter.go
+++ b/core/recorder/filter.go
@@ -18,5 +18,5 @@
 }
 
 func (f Filter) keepsWorker(event Event) bool {
-	return f.Worker == "" || Names(f.Worker, event.Process) || Names(f.Worker, event.Other)
+	return f.Worker == "" || RefersTo(f.Worker, event.Process) || RefersTo(f.Worker, event.Other)
 }
--- a/core/recorder/process.go
+++ b/core/recorder/process.go
@@ -8,8 +8,8 @@
 	return name
 }
 
-// Names reports whether peer, from Event.Other, names process. A peer without an incarnation
+// RefersTo reports whether peer, from Event.Other, names process. A peer without an incarnation
 // names every run of its process.
-func Names(peer, process string) bool {
+func RefersTo(peer, process string) bool {
 	return peer == process || peer == ProcessName(process)
 }
--- a/core/verifier/notrun.go
+++ b/core/verifier/notrun.go
@@ -56,7 +56,7 @@
 			continue
 		}
 		for _, event := range h.answers(specifier.NotRun) {
-			if event.Epoch > 0 && event.Detail == answer.Detail && recorder.Names(attached.Other, event.Process) {
+			if event.Epoch > 0 && event.Detail == answer.Detail && recorder.RefersTo(attached.Other, event.Process) {
 				own = append(own, event)
 			}
 		}
--- a/core/verifier/startonce.go
+++ b/core/verifier/startonce.go
@@ -36,7 +36,7 @@
 	for i := range h.events {
 		event := &h.events[i]
 		if event.Kind == recorder.TaskAssigned && event.Task == start.Task && event.Epoch == start.Epoch &&
-			recorder.Names(event.Other, start.Process) {
+			recorder.RefersTo(event.Other, start.Process) {
 			latest = event
 		}
 	}
