--- a/core/merger/timeline.go
+++ b/core/merger/timeline.go
@@ -38,7 +38,7 @@
 		event := entry.Event
 		event.At = entry.Aligned
 		position[i] = -1
-		if filter.Keeps(event) {
+		if filter.Matches(event) {
 			position[i] = len(kept.Entries)
 			kept.Entries = append(kept.Entries, entry)
 			used[entry.Process] = true
--- a/core/recorder/buffer.go
+++ b/core/recorder/buffer.go
@@ -50,5 +50,5 @@
 // kind were dropped.
 func (b *Buffer) Select(filter Filter) ([]Event, int) {
 	all, dropped := b.All()
-	return slices.DeleteFunc(all, func(event Event) bool { return !filter.Keeps(event) }), dropped
+	return slices.DeleteFunc(all, func(event Event) bool { return !filter.Matches(event) }), dropped
 }
--- a/core/recorder/filter.go
+++ b/core/recorder/filter.go
@@ -9,14 +9,14 @@
 	Span   Span   // on the clock of each event's process
 }
 
-// Keeps reports whether the filter selects event.
-func (f Filter) Keeps(event Event) bool {
+// Matches reports whether the filter selects event.
+func (f Filter) Matches(event Event) bool {
 	if f.Job != (specifier.JobID{}) && event.Job != f.Job {
 		return false
 	}
-	return f.keepsWorker(event) && f.Span.Contains(event.At)
+	return f.matchesWorker(event) && f.Span.Contains(event.At)
 }
 
-func (f Filter) keepsWorker(event Event) bool {
+func (f Filter) matchesWorker(event Event) bool {
 	return f.Worker == "" || RefersTo(f.Worker, event.Process) || RefersTo(f.Worker, event.Other)
 }
