--- a/agent/runner/agent.go
+++ b/agent/runner/agent.go
@@ -104,7 +104,7 @@
 	a.streams = &listener.Streams{}
 	a.invoker = invoker.New(a.Settings.MaxConnections)
 	a.pool = &dialer.Pool{Credentials: a.Security.ClientCredentials(specifier.Controller, ""), MaxMessage: int(a.Settings.MaxMessage),
-		Stats: []stats.Handler{&exporter.Bytes{Member: a.Metrics.Member}}}
+		Stats: []stats.Handler{&exporter.StatsHandler{Member: a.Metrics.Member}}}
 	a.workFinished, a.allReleased = make(chan struct{}), make(chan struct{})
 	a.leave, a.sessionEnded = make(chan struct{}), make(chan struct{})
 	a.Health.Probe = a.probe
--- a/entry/runner/entry.go
+++ b/entry/runner/entry.go
@@ -105,7 +105,7 @@
 	e.leave, e.sessionEnded = make(chan struct{}), make(chan struct{})
 	e.waiters = &responder.Waiters{}
 	e.lease = registrant.NewLease()
-	e.pools = newPools(e.Security, int(e.Settings.MaxMessage), &exporter.Bytes{Member: e.Metrics.Member}, e.Stats)
+	e.pools = newPools(e.Security, int(e.Settings.MaxMessage), &exporter.StatsHandler{Member: e.Metrics.Member}, e.Stats)
 	e.Health.Probe = e.probe
 	var err error
 	if e.callers, err = net.Listen("tcp", e.Settings.HTTPAddr.String()); err != nil {
