--- a/core/recorder/parsedanswer.go
+++ b/core/recorder/parsedanswer.go
@@ -10,7 +10,7 @@
 type ParsedAnswer struct {
 	Outcome specifier.Outcome
 	Reason  specifier.Reason // empty when Complete
-	Detail    string           // for people
+	Detail  string           // for people
 }
 
 // FormatAnswer returns the Detail of a JobAnswered event: outcome, reason and the answer's detail.
