--- a/core/merger/merge_test.go
+++ b/core/merger/merge_test.go
@@ -35,8 +35,8 @@
 	t.Helper()
 	for _, clock := range timeline.Clocks {
 		truth := w.skew[clock.Process] - reference
-		must.True(t, !clock.HasLeast || clock.Least <= truth, must.Sprintf("%s: %v, true skew %v", clock.Process, clock, truth))
-		must.True(t, !clock.HasMost || truth <= clock.Most, must.Sprintf("%s: %v, true skew %v", clock.Process, clock, truth))
+		must.True(t, !clock.HasMinSkew || clock.MinSkew <= truth, must.Sprintf("%s: %v, true skew %v", clock.Process, clock, truth))
+		must.True(t, !clock.HasMaxSkew || truth <= clock.MaxSkew, must.Sprintf("%s: %v, true skew %v", clock.Process, clock, truth))
 	}
 }
 
@@ -149,7 +149,7 @@
 		assertRespects(t, timeline, w.causes)
 		assertBounds(t, timeline, w, 0)
 		for _, clock := range timeline.Clocks {
-			must.LessEq(t, 2*time.Millisecond, clock.Most-clock.Least, must.Sprint("the exchange bounds the skew"))
+			must.LessEq(t, 2*time.Millisecond, clock.MaxSkew-clock.MinSkew, must.Sprint("the exchange bounds the skew"))
 		}
 	}))
 	t.Run("clocks that jump", rapid.MakeCheck(func(t *rapid.T) {
--- a/core/merger/skews.go
+++ b/core/merger/skews.go
@@ -73,7 +73,7 @@
 	chosen := make([]time.Duration, len(s.names))
 	for {
 		clocks, _ := s.solve(reference, bounds)
-		free := slices.IndexFunc(clocks, func(c Clock) bool { return !c.HasLeast || !c.HasMost })
+		free := slices.IndexFunc(clocks, func(c Clock) bool { return !c.HasMinSkew || !c.HasMaxSkew })
 		if free < 0 {
 			for i, clock := range clocks {
 				chosen[i] = clock.estimate()
@@ -95,8 +95,8 @@
 	least, okLeast := shortest(len(s.names)+1, reference, reversed)
 	clocks := make([]Clock, len(s.names))
 	for i, name := range s.names {
-		clocks[i] = Clock{Process: name, Most: most.length[i+1], HasMost: most.known[i+1],
-			Least: -least.length[i+1], HasLeast: least.known[i+1]}
+		clocks[i] = Clock{Process: name, MaxSkew: most.length[i+1], HasMaxSkew: most.known[i+1],
+			MinSkew: -least.length[i+1], HasMinSkew: least.known[i+1]}
 	}
 	return clocks, okMost && okLeast
 }
--- a/core/merger/text.go
+++ b/core/merger/text.go
@@ -78,11 +78,11 @@
 // Bounds returns the interval that holds the skew, for people.
 func (c Clock) Bounds() string {
 	least, most := "unknown", "unknown"
-	if c.HasLeast {
-		least = round(c.Least).String()
+	if c.HasMinSkew {
+		least = round(c.MinSkew).String()
 	}
-	if c.HasMost {
-		most = round(c.Most).String()
+	if c.HasMaxSkew {
+		most = round(c.MaxSkew).String()
 	}
 	return least + " to " + most
 }
