--- a/core/merger/lines.go
+++ b/core/merger/lines.go
@@ -64,9 +64,9 @@
 	case Skipped:
 		return "-"
 	case Cut:
-		return fmt.Sprintf("%s at %s, until the answer", round(p.Spent), recorder.ProcessName(p.Where))
+		return fmt.Sprintf("%s at %s, until the answer", round(p.Spent), recorder.ProcessName(p.Process))
 	case Open:
-		return fmt.Sprintf("%s at %s, not ended", round(p.Spent), recorder.ProcessName(p.Where))
+		return fmt.Sprintf("%s at %s, not ended", round(p.Spent), recorder.ProcessName(p.Process))
 	}
-	return fmt.Sprintf("%s at %s", round(p.Spent), recorder.ProcessName(p.Where))
+	return fmt.Sprintf("%s at %s", round(p.Spent), recorder.ProcessName(p.Process))
 }
--- a/core/merger/phases.go
+++ b/core/merger/phases.go
@@ -40,11 +40,11 @@
 	case from == nil:
 		return Phase{Name: name, State: Skipped}
 	case to != nil:
-		return Phase{Name: name, Spent: s.until(from, to), State: Ended, Where: from.Process}
+		return Phase{Name: name, Spent: s.until(from, to), State: Ended, Process: from.Process}
 	case cut != nil:
-		return Phase{Name: name, Spent: s.until(from, cut), State: Cut, Where: from.Process}
+		return Phase{Name: name, Spent: s.until(from, cut), State: Cut, Process: from.Process}
 	}
-	return Phase{Name: name, Spent: s.until(from, nil), State: Open, Where: from.Process}
+	return Phase{Name: name, Spent: s.until(from, nil), State: Open, Process: from.Process}
 }
 
 func (s *summarizer) atEntry() Phase {
@@ -67,5 +67,5 @@
 		return Phase{Name: OnLinks, State: Skipped}
 	}
 	spent := s.until(s.assigned, s.returned) - s.until(s.queued, s.ended)
-	return Phase{Name: OnLinks, Spent: spent, State: Ended, Where: s.owner}
+	return Phase{Name: OnLinks, Spent: spent, State: Ended, Process: s.owner}
 }
