--- a/core/merger/phases.go
+++ b/core/merger/phases.go
@@ -4,12 +4,12 @@
 
 // The names of the phases, in order.
 const (
-	AtEntry   = "waiting at the entry"
-	ForRecord = "waiting for the record"
-	OnLinks   = "on links"
-	InQueue   = "waiting in the agent's queue"
-	Running   = "running"
-	Answering = "collecting the answer"
+	EntryWait   = "waiting at the entry"
+	RecordWait  = "waiting for the record"
+	NetworkTime = "on links"
+	QueueWait   = "waiting in the agent's queue"
+	RunTime     = "running"
+	AnswerTime  = "collecting the answer"
 )
 
 // phases returns the parts of the job's time. The entry's part is before the proposal and
@@ -17,10 +17,10 @@
 func (s *summarizer) phases() []Phase {
 	return []Phase{
 		s.atEntry(),
-		s.between(ForRecord, s.proposed, s.accepted, s.answered),
+		s.between(RecordWait, s.proposed, s.accepted, s.answered),
 		s.onLinks(),
-		s.between(InQueue, s.queued, cmp.Or(s.started, s.refused), nil),
-		s.between(Running, s.started, s.ended, nil),
+		s.between(QueueWait, s.queued, cmp.Or(s.started, s.refused), nil),
+		s.between(RunTime, s.started, s.ended, nil),
 		s.collecting(),
 	}
 }
@@ -28,9 +28,9 @@
 // collecting is the time from the last result to the answer.
 func (s *summarizer) collecting() Phase {
 	if s.isRefused() {
-		return Phase{Name: Answering, State: Skipped}
+		return Phase{Name: AnswerTime, State: Skipped}
 	}
-	return s.between(Answering, s.returned, s.answered, nil)
+	return s.between(AnswerTime, s.returned, s.answered, nil)
 }
 
 // between measures from one step to the next of the same process. When the next is not
@@ -48,7 +48,7 @@
 }
 
 func (s *summarizer) atEntry() Phase {
-	before := s.between(AtEntry, s.submitted, s.proposed, s.answered)
+	before := s.between(EntryWait, s.submitted, s.proposed, s.answered)
 	if s.accepted == nil {
 		return before
 	}
@@ -56,7 +56,7 @@
 	if s.isRefused() {
 		assigned = nil
 	}
-	after := s.between(AtEntry, s.accepted, assigned, s.answered)
+	after := s.between(EntryWait, s.accepted, assigned, s.answered)
 	after.Spent += before.Spent
 	return after
 }
@@ -64,8 +64,8 @@
 // onLinks is what the round trip between entry and agent took beyond the agent's own time.
 func (s *summarizer) onLinks() Phase {
 	if s.assigned == nil || s.returned == nil || s.queued == nil || s.ended == nil {
-		return Phase{Name: OnLinks, State: Skipped}
+		return Phase{Name: NetworkTime, State: Skipped}
 	}
 	spent := s.until(s.assigned, s.returned) - s.until(s.queued, s.ended)
-	return Phase{Name: OnLinks, Spent: spent, State: Ended, Process: s.owner}
+	return Phase{Name: NetworkTime, Spent: spent, State: Ended, Process: s.owner}
 }
