--- a/core/merger/bench_test.go
+++ b/core/merger/bench_test.go
@@ -36,7 +36,7 @@
 	}
 	logs := w.logs(1000, true)
 	for len(logs) < agents+1 { // agents without an event of the job answer too
-		logs = append(logs, Log{Asked: nine, Now: nine.Add(time.Millisecond), Answered: nine.Add(2 * time.Millisecond)})
+		logs = append(logs, Log{RequestedAt: nine, ProcessTime: nine.Add(time.Millisecond), RepliedAt: nine.Add(2 * time.Millisecond)})
 	}
 	return logs
 }
--- a/core/merger/log.go
+++ b/core/merger/log.go
@@ -6,16 +6,18 @@
 	"oleandertally/core/recorder"
 )
 
-// Log is what one process answered when its events were gathered.
+// Log is the reply of one process to a request for its events.
 type Log struct {
 	Events  []recorder.Event
-	Dropped int // events that its buffer no longer held
+	Dropped int // events that the process's buffer had already evicted
 
-	// Asked and Answered are on the gatherer's clock, Now is on the process's clock, read
-	// between the two. All are zero when unknown.
-	Asked    time.Time
-	Answered time.Time
-	Now      time.Time
+	// RequestedAt and RepliedAt are read on the requesting client's clock. ProcessTime is read on the process's
+	// clock between the two. All three are zero when they are unknown.
+	RequestedAt time.Time
+	RepliedAt   time.Time
+	ProcessTime time.Time
 }
 
-func (l Log) isTimed() bool { return !l.Asked.IsZero() && !l.Answered.IsZero() && !l.Now.IsZero() }
+func (l Log) isTimed() bool {
+	return !l.RequestedAt.IsZero() && !l.RepliedAt.IsZero() && !l.ProcessTime.IsZero()
+}
--- a/core/merger/skews.go
+++ b/core/merger/skews.go
@@ -28,8 +28,8 @@
 		}
 		process := s.index(log.Events[0].Process)
 		s.timed = append(s.timed,
-			bound{from: 0, to: process, ahead: log.Now.Sub(log.Asked)},
-			bound{from: process, to: 0, ahead: log.Answered.Sub(log.Now)})
+			bound{from: 0, to: process, ahead: log.ProcessTime.Sub(log.RequestedAt)},
+			bound{from: process, to: 0, ahead: log.RepliedAt.Sub(log.ProcessTime)})
 	}
 }
 
--- a/core/merger/world_test.go
+++ b/core/merger/world_test.go
@@ -73,9 +73,9 @@
 	for process, events := range w.events {
 		log := Log{Events: events}
 		if timed {
-			log.Asked = nine.Add(time.Duration(ms) * time.Millisecond)
-			log.Answered = log.Asked.Add(2 * time.Millisecond)
-			log.Now = log.Asked.Add(time.Millisecond + w.skew[process])
+			log.RequestedAt = nine.Add(time.Duration(ms) * time.Millisecond)
+			log.RepliedAt = log.RequestedAt.Add(2 * time.Millisecond)
+			log.ProcessTime = log.RequestedAt.Add(time.Millisecond + w.skew[process])
 		}
 		logs = append(logs, log)
 	}
--- a/core/operator/client.go
+++ b/core/operator/client.go
@@ -97,7 +97,7 @@
 }
 
 func decodeLog(reply *encoder.EventList, asked, answered time.Time) (merger.Log, error) {
-	log := merger.Log{Asked: asked, Answered: answered, Now: time.Unix(0, reply.GetNow()), Dropped: int(reply.GetDropped())}
+	log := merger.Log{RequestedAt: asked, RepliedAt: answered, ProcessTime: time.Unix(0, reply.GetNow()), Dropped: int(reply.GetDropped())}
 	if len(reply.GetItems()) > maxEvents {
 		return log, errors.Newf("Items: has %d events, expected at most %d", len(reply.GetItems()), maxEvents)
 	}
