--- a/core/merger/merge.go
+++ b/core/merger/merge.go
@@ -19,7 +19,7 @@
 	count(clocks, logs, events)
 	o := newOrder(align(events, clocks), links)
 	entries, position := o.run()
-	timeline := Timeline{Entries: entries, Clocks: clocks, Consistent: consistent, Broken: o.broken}
+	timeline := Timeline{Entries: entries, Clocks: clocks, Consistent: consistent, ViolatedLinks: o.violated}
 	for _, l := range links {
 		timeline.Links = append(timeline.Links, Link{From: position[l.From], To: position[l.To]})
 	}
--- a/core/merger/merge_test.go
+++ b/core/merger/merge_test.go
@@ -139,7 +139,7 @@
 		w := randomWorld(t)
 		timeline := Merge(w.logs(0, false))
 		assertRespects(t, timeline, w.causes)
-		must.Eq(t, 0, timeline.Broken)
+		must.Eq(t, 0, timeline.ViolatedLinks)
 		must.True(t, timeline.Consistent)
 		assertBounds(t, timeline, w, w.skew[timeline.Clocks[0].Process])
 	}))
--- a/core/merger/order.go
+++ b/core/merger/order.go
@@ -7,13 +7,13 @@
 // order is a topological sort in which the earliest ready entry goes first. Entries are sorted
 // by process and sequence number.
 type order struct {
-	entries []Entry
-	effects [][]int // of each entry, at other processes
-	waits   []int   // causes that are not placed yet
-	placed  []bool
-	queued  []bool
-	ready   container.Heap[int]
-	broken  int
+	entries  []Entry
+	effects  [][]int // of each entry, at other processes
+	waits    []int   // causes that are not placed yet
+	placed   []bool
+	queued   []bool
+	ready    container.Heap[int]
+	violated int
 }
 
 func newOrder(entries []Entry, links []Link) *order {
@@ -91,7 +91,7 @@
 			earliest = i
 		}
 	}
-	o.broken += o.waits[earliest]
+	o.violated += o.waits[earliest]
 	o.queued[earliest] = true
 	return earliest
 }
--- a/core/merger/text.go
+++ b/core/merger/text.go
@@ -93,8 +93,8 @@
 	if !t.Consistent {
 		lines = append(lines, "Clocks and causes contradict each other: a clock was set during the span, or events are missing.")
 	}
-	if t.Broken > 0 {
-		lines = append(lines, fmt.Sprintf("%d causes form a cycle and are not respected: events are missing.", t.Broken))
+	if t.ViolatedLinks > 0 {
+		lines = append(lines, fmt.Sprintf("%d causes form a cycle and are not respected: events are missing.", t.ViolatedLinks))
 	}
 	return lines
 }
--- a/core/merger/timeline.go
+++ b/core/merger/timeline.go
@@ -14,8 +14,8 @@
 	// Consistent is false when the causes and clocks contradict each other: a clock was set
 	// during the span, or events are missing. Then the skews come from the gathering alone.
 	Consistent bool
-	// Broken counts causes that the order could not respect because they form a cycle.
-	Broken int
+	// ViolatedLinks counts causes that the order could not respect because they form a cycle.
+	ViolatedLinks int
 }
 
 // Events returns the events in order, with aligned times, as verifier.Check wants them.
@@ -31,7 +31,7 @@
 // Filter returns the entries that filter selects, with its span on the reference clock, and the
 // clocks of their processes.
 func (t Timeline) Filter(filter recorder.Filter) Timeline {
-	kept := Timeline{Consistent: t.Consistent, Broken: t.Broken}
+	kept := Timeline{Consistent: t.Consistent, ViolatedLinks: t.ViolatedLinks}
 	position := make([]int, len(t.Entries))
 	used := make(map[string]bool)
 	for i, entry := range t.Entries {
