--- a/controller/run_test.go
+++ b/controller/run_test.go
@@ -114,7 +114,7 @@
 	sent, err := authenticator.NewOperatorToken(settings)
 	must.NoError(s.t, err)
 	return &operator.Client{Controllers: []netip.AddrPort{s.addr}, Credentials: security.ClientCredentials(specifier.Controller, ""), PerRPC: sent,
-		Attempt: 2 * time.Second, Rounds: 1, Clock: time.Now}
+		AttemptTimeout: 2 * time.Second, MaxRounds: 1, Clock: time.Now}
 }
 
 // Guards against a program that lets in who has no right, and one that does not stop when it is told to.
--- a/controller/server/cluster_test.go
+++ b/controller/server/cluster_test.go
@@ -120,7 +120,7 @@
 
 // client asks every controller.
 func (c *cluster) client() *operator.Client {
-	client := &operator.Client{Credentials: insecure.NewCredentials(), Attempt: time.Second, Rounds: 1, Clock: time.Now}
+	client := &operator.Client{Credentials: insecure.NewCredentials(), AttemptTimeout: time.Second, MaxRounds: 1, Clock: time.Now}
 	for _, peer := range c.peers {
 		client.Controllers = append(client.Controllers, peer.Addr)
 	}
--- a/core/operator/call.go
+++ b/core/operator/call.go
@@ -13,9 +13,9 @@
 // maxReply bounds one reply, in bytes: the events of one process at most.
 const maxReply = 64 << 20
 
-// call dials addr for one call, limited to Attempt.
+// call dials addr for one call, limited to AttemptTimeout.
 func call[T any](ctx context.Context, c *Client, addr netip.AddrPort, do func(context.Context, *grpc.ClientConn) (T, error)) (T, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.Attempt)
+	ctx, cancel := context.WithTimeout(ctx, c.AttemptTimeout)
 	defer cancel()
 	options := []grpc.DialOption{grpc.WithNoProxy(), grpc.WithTransportCredentials(c.credentialsFor(addr)),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxReply))}
--- a/core/operator/client.go
+++ b/core/operator/client.go
@@ -23,9 +23,9 @@
 	// another certificate; nil when Credentials serve for all.
 	RoleCredentials func(specifier.Role) credentials.TransportCredentials
 	PerRPC          credentials.PerRPCCredentials                    // sent with each call; nil when there is none
-	Attempt         time.Duration                                    // limit of one call
-	Rounds          int                                              // times that every controller is tried
-	Between         time.Duration                                    // from one round to the next: an election can be under way
+	AttemptTimeout  time.Duration                                    // limit of one call
+	MaxRounds       int                                              // times that every controller is tried
+	RoundInterval   time.Duration                                    // from one round to the next: an election can be under way
 	Pause           func(ctx context.Context, d time.Duration) error // waits, or returns the context's error
 	Clock           func() time.Time
 
--- a/core/operator/follow.go
+++ b/core/operator/follow.go
@@ -12,8 +12,8 @@
 // follow asks the controllers in rounds until one answers as the leader.
 func follow[T any](ctx context.Context, c *Client, do func(context.Context, *grpc.ClientConn) (T, error)) (T, error) {
 	failed := &UnreachableError{}
-	for round := range c.Rounds {
-		if round > 0 && c.Pause(ctx, c.Between) != nil {
+	for round := range c.MaxRounds {
+		if round > 0 && c.Pause(ctx, c.RoundInterval) != nil {
 			break
 		}
 		failed.Tried = nil
--- a/core/operator/operator_test.go
+++ b/core/operator/operator_test.go
@@ -84,7 +84,7 @@
 }
 
 func newClient(controllers ...netip.AddrPort) *Client {
-	return &Client{Controllers: controllers, Credentials: insecure.NewCredentials(), Attempt: time.Minute, Rounds: 3, Clock: func() time.Time { return nine },
+	return &Client{Controllers: controllers, Credentials: insecure.NewCredentials(), AttemptTimeout: time.Minute, MaxRounds: 3, Clock: func() time.Time { return nine },
 		Pause: func(ctx context.Context, _ time.Duration) error { return ctx.Err() }}
 }
 
--- a/local/programs_test.go
+++ b/local/programs_test.go
@@ -205,8 +205,8 @@
 
 // newClient returns a client that tries as long as the programs may take to start.
 func newClient(controller netip.AddrPort) *operator.Client {
-	return &operator.Client{Controllers: []netip.AddrPort{controller}, Credentials: insecure.NewCredentials(), Attempt: readyWithin,
-		Rounds: 200, Between: 100 * time.Millisecond, Clock: time.Now, Pause: pause}
+	return &operator.Client{Controllers: []netip.AddrPort{controller}, Credentials: insecure.NewCredentials(), AttemptTimeout: readyWithin,
+		MaxRounds: 200, RoundInterval: 100 * time.Millisecond, Clock: time.Now, Pause: pause}
 }
 
 func pause(ctx context.Context, d time.Duration) error {
--- a/tally/connection.go
+++ b/tally/connection.go
@@ -62,7 +62,7 @@
 	if c.attempt <= 0 {
 		return nil, fail(exitUsage, "", "-attempt is %v, expected more than 0", c.attempt)
 	}
-	client := &operator.Client{Controllers: addrs, Credentials: insecure.NewCredentials(), Attempt: c.attempt, Rounds: rounds, Between: between,
+	client := &operator.Client{Controllers: addrs, Credentials: insecure.NewCredentials(), AttemptTimeout: c.attempt, MaxRounds: rounds, RoundInterval: between,
 		Pause: c.env.pause, Clock: c.env.clock}
 	if c.settings != "" {
 		if err := c.secure(client); err != nil {
@@ -94,7 +94,7 @@
 		return fail(exitFailed, "", "%v", err)
 	}
 	c.name = settings.Name
-	client.Attempt = min(client.Attempt, settings.Timeout)
+	client.AttemptTimeout = min(client.AttemptTimeout, settings.Timeout)
 	client.Credentials, client.PerRPC = security.ClientCredentials(specifier.Controller, ""), token
 	client.RoleCredentials = func(role specifier.Role) credentials.TransportCredentials {
 		return security.ClientCredentials(role, "")
