--- a/controller/driver/readanswered.go
+++ b/controller/driver/readanswered.go
@@ -6,5 +6,5 @@
 type ReadAnswered struct {
 	Ticket uint64
 	State  operator.State
-	Err    error // a *operator.NotLeaderError or operator.ErrNotHeld
+	Err    error // a *operator.NotLeaderError or operator.ErrRevisionUnavailable
 }
--- a/core/operator/call.go
+++ b/core/operator/call.go
@@ -44,7 +44,7 @@
 func translate(err error) error {
 	switch status.Code(err) {
 	case codes.NotFound:
-		return ErrNotHeld
+		return ErrRevisionUnavailable
 	case codes.Unimplemented:
 		return errors.Newf("the process has no Operator service, so it is not a controller: %s", plain(err))
 	case codes.Unauthenticated, codes.PermissionDenied:
--- a/core/operator/client.go
+++ b/core/operator/client.go
@@ -49,7 +49,7 @@
 }
 
 // Read returns the state with the configuration at revision; 0 is the one in force. It returns
-// ErrNotHeld when the leader does not hold the revision.
+// ErrRevisionUnavailable when the leader does not hold the revision.
 func (c *Client) Read(ctx context.Context, revision specifier.Revision) (State, error) {
 	return follow(ctx, c, func(ctx context.Context, conn *grpc.ClientConn) (State, error) {
 		reply, err := encoder.NewOperatorClient(conn).Read(ctx, &encoder.ReadRequest{Revision: uint64(revision)})
--- a/core/operator/errors.go
+++ b/core/operator/errors.go
@@ -2,5 +2,5 @@
 
 import "github.com/cockroachdb/errors"
 
-// ErrNotHeld means that the configuration at the revision asked for is not held.
-var ErrNotHeld = errors.New("the configuration at this revision is not held")
+// ErrRevisionUnavailable means that the configuration at the revision asked for is not held.
+var ErrRevisionUnavailable = errors.New("the configuration at this revision is not held")
--- a/core/operator/history.go
+++ b/core/operator/history.go
@@ -23,12 +23,12 @@
 	h.ring.Add(configuration)
 }
 
-// At returns the configuration at revision, or ErrNotHeld.
+// At returns the configuration at revision, or ErrRevisionUnavailable.
 func (h *History) At(revision specifier.Revision) (specifier.Configuration, error) {
 	for _, configuration := range h.ring.All() {
 		if configuration.Revision == revision {
 			return configuration, nil
 		}
 	}
-	return specifier.Configuration{}, ErrNotHeld
+	return specifier.Configuration{}, ErrRevisionUnavailable
 }
--- a/core/operator/operator_test.go
+++ b/core/operator/operator_test.go
@@ -137,9 +137,9 @@
 // Guards against a refusal that is tried again or loses its cause.
 func TestClientReportsRefusals(t *testing.T) {
 	t.Run("a revision that is not held", func(t *testing.T) {
-		f := &fake{err: ErrNotHeld}
+		f := &fake{err: ErrRevisionUnavailable}
 		_, err := newClient(serve(t, f)).Read(t.Context(), 3)
-		must.True(t, errors.Is(err, ErrNotHeld))
+		must.True(t, errors.Is(err, ErrRevisionUnavailable))
 		must.Eq(t, []specifier.Revision{3}, f.revisions)
 	})
 	t.Run("a command of members", func(t *testing.T) {
@@ -214,7 +214,7 @@
 		history.Add(specifier.Configuration{Revision: revision})
 	}
 	_, err := history.At(1)
-	must.True(t, errors.Is(err, ErrNotHeld))
+	must.True(t, errors.Is(err, ErrRevisionUnavailable))
 	for _, revision := range []specifier.Revision{2, 3} {
 		configuration, err := history.At(revision)
 		must.NoError(t, err)
--- a/core/operator/read.go
+++ b/core/operator/read.go
@@ -7,6 +7,6 @@
 )
 
 // Read returns the state, with the configuration at revision, or in force when revision is 0. It
-// returns a *NotLeaderError on a controller that does not lead, and ErrNotHeld for a revision
+// returns a *NotLeaderError on a controller that does not lead, and ErrRevisionUnavailable for a revision
 // that is unknown or no longer held.
 type Read func(ctx context.Context, revision specifier.Revision) (State, error)
--- a/core/operator/server.go
+++ b/core/operator/server.go
@@ -32,7 +32,7 @@
 	switch {
 	case errors.As(err, &elsewhere):
 		return &encoder.ReadReply{NotLeader: true, Leader: addressText(elsewhere.Leader)}, nil
-	case errors.Is(err, ErrNotHeld):
+	case errors.Is(err, ErrRevisionUnavailable):
 		return nil, status.Error(codes.NotFound, err.Error())
 	case err != nil:
 		return nil, status.Error(codes.Unavailable, err.Error())
--- a/tally/failure.go
+++ b/tally/failure.go
@@ -34,7 +34,7 @@
 	switch {
 	case errors.As(err, &unreachable):
 		return fail(exitUnreachable, "check the addresses of -controllers, and that a majority of the controllers runs", "%v", err)
-	case errors.Is(err, operator.ErrNotHeld):
+	case errors.Is(err, operator.ErrRevisionUnavailable):
 		return fail(exitFailed, "use a newer revision, or apply a saved file with: tally profiles apply FILE", "%v", err)
 	}
 	return err
