--- a/core/merger/drawing.go
+++ b/core/merger/drawing.go
@@ -15,7 +15,7 @@
 	laneHeight = 44
 )
 
-// drawing is the time line as lanes from left to right.
+// drawing is the time line as one lane for each process, with time from left to right.
 type drawing struct {
 	Width, Height int
 	Lanes         []lane
@@ -33,7 +33,7 @@
 	}
 	x := scale(timeline.Entries)
 	for _, e := range timeline.Entries {
-		d.Marks = append(d.Marks, mark{X: x(e), Y: lanes[e.Process], Class: classOf(e.Kind), Note: note(e)})
+		d.Marks = append(d.Marks, mark{X: x(e), Y: lanes[e.Process], Class: classOf(e.Kind), Tooltip: tooltip(e)})
 	}
 	for _, l := range timeline.Links {
 		from, to := timeline.Entries[l.From], timeline.Entries[l.To]
@@ -44,7 +44,7 @@
 	return d
 }
 
-// scale maps aligned times to pixels.
+// scale returns the function that maps an entry to its horizontal position in pixels.
 func scale(entries []Entry) func(Entry) int {
 	if len(entries) == 0 {
 		return func(Entry) int { return labelWidth }
@@ -64,27 +64,27 @@
 	}
 }
 
-// bars returns a bar from each event of kind from to the next one of kind to of the same task
-// at the same process.
+// bars returns a bar for each pair of events of kinds from and to that follow each other for the same task at the same
+// process.
 func bars(entries []Entry, lanes map[string]int, x func(Entry) int, from, to recorder.Kind, class string) []bar {
 	type key struct {
 		process string
 		task    specifier.TaskKey
 	}
-	var found []bar
+	var drawn []bar
 	open := make(map[key]Entry)
 	for _, e := range entries {
 		k := key{process: e.Process, task: specifier.TaskKey{Job: e.Job, Task: e.Task}}
 		if start, ok := open[k]; ok && e.Kind == to {
-			found = append(found, bar{X: x(start), Y: lanes[e.Process] - 8, Width: max(x(e)-x(start), 1), Class: class,
-				Note: fmt.Sprintf("%s %s for %s", e.Task, class, round(e.At.Sub(start.At)))})
+			drawn = append(drawn, bar{X: x(start), Y: lanes[e.Process] - 8, Width: max(x(e)-x(start), 1), Class: class,
+				Tooltip: fmt.Sprintf("%s %s for %s", e.Task, class, round(e.At.Sub(start.At)))})
 			delete(open, k)
 		}
 		if e.Kind == from {
 			open[k] = e
 		}
 	}
-	return found
+	return drawn
 }
 
 func classOf(kind recorder.Kind) string {
@@ -97,7 +97,7 @@
 	return "step"
 }
 
-func note(e Entry) string {
+func tooltip(e Entry) string {
 	text := fmt.Sprintf("%s %s", e.Aligned.UTC().Format(timeFormat), e.Kind)
 	for _, part := range []string{e.Task, recorder.ProcessName(e.Other), e.Detail} {
 		if part != "" {
--- a/core/merger/entry.go
+++ b/core/merger/entry.go
@@ -9,5 +9,5 @@
 // Entry is one event of the merged time line.
 type Entry struct {
 	recorder.Event
-	Aligned time.Time // At without the estimated skew of its process
+	Aligned time.Time // Event.At minus the estimated skew of the process
 }
--- a/core/merger/lane.go
+++ b/core/merger/lane.go
@@ -1,6 +1,6 @@
 package merger
 
-// lane is the line of one process.
+// lane is the horizontal line of one process in the drawing.
 type lane struct {
 	Name string
 	Y    int
--- a/core/merger/lines.go
+++ b/core/merger/lines.go
@@ -7,7 +7,7 @@
 	"oleandertally/core/recorder"
 )
 
-// Lines returns the summary for people, one line each, with tabs between columns.
+// Lines returns the summary as lines of text, with tabs between the columns.
 func (s Summary) Lines() []string {
 	if s.Owner == "" {
 		return []string{fmt.Sprintf("Job %s\tno events: it is unknown here, or its events are no longer held", s.Job)}
@@ -46,11 +46,12 @@
 	return fmt.Sprintf("answered after %s at %s", round(s.Total), recorder.ProcessName(s.Owner))
 }
 
+// refusalText describes an answer whose outcome is NotRun.
 func refusalText(answer Entry) string {
-	answered := recorder.ParseAnswer(answer.Detail)
-	text := string(answered.Reason)
-	if answered.Detail != "" {
-		text += ": " + answered.Detail
+	parsed := recorder.ParseAnswer(answer.Detail)
+	text := string(parsed.Reason)
+	if parsed.Detail != "" {
+		text += ": " + parsed.Detail
 	}
 	when := "before acceptance"
 	if answer.Epoch > 0 {
--- a/core/merger/link.go
+++ b/core/merger/link.go
@@ -1,6 +1,6 @@
 package merger
 
-// Link says that the event at index From caused the one at index To, at another process.
+// Link is a causal link: the event at index From caused the event at index To, at another process.
 type Link struct {
 	From int
 	To   int
--- a/core/merger/mark.go
+++ b/core/merger/mark.go
@@ -1,8 +1,8 @@
 package merger
 
-// mark is one event.
+// mark is one event in the drawing.
 type mark struct {
-	X, Y  int
-	Class string
-	Note  string
+	X, Y    int
+	Class   string
+	Tooltip string
 }
--- a/core/merger/merge.go
+++ b/core/merger/merge.go
@@ -7,26 +7,26 @@
 	"oleandertally/core/recorder"
 )
 
-// Merge orders the events of all logs by cause, and by the estimated time where the causes
-// leave a choice. An event that is in several logs is kept once.
+// Merge returns the events of all logs in causal order. Events that causality leaves unordered are sorted by their
+// estimated time. An event that is in several logs appears once.
 func Merge(logs []Log) Timeline {
 	events := collect(logs)
 	links := findLinks(events)
-	s := &skews{names: processes(events)}
-	s.exchanges(logs)
-	s.messages(events, links)
+	s := &skewEstimator{processes: processes(events)}
+	s.addExchanges(logs)
+	s.addMessages(events, links)
 	clocks, consistent := s.clocks()
-	count(clocks, logs, events)
+	countEvents(clocks, logs, events)
 	o := newOrder(align(events, clocks), links)
 	entries, position := o.run()
-	timeline := Timeline{Entries: entries, Clocks: clocks, Consistent: consistent, ViolatedLinks: o.violated}
+	timeline := Timeline{Entries: entries, Clocks: clocks, Consistent: consistent, ViolatedLinks: o.violatedLinks}
 	for _, l := range links {
 		timeline.Links = append(timeline.Links, Link{From: position[l.From], To: position[l.To]})
 	}
 	return timeline
 }
 
-// collect returns the events of all logs by process and sequence number, each once.
+// collect returns the events of all logs, sorted by process and sequence number and without duplicates.
 func collect(logs []Log) []recorder.Event {
 	var events []recorder.Event
 	for _, log := range logs {
@@ -38,13 +38,14 @@
 	return slices.CompactFunc(events, isSame)
 }
 
-// isSame compares every field, so that two runs that share a process name lose nothing.
+// isSame compares every field, so that no event is dropped when two incarnations share a process name.
 func isSame(a, b recorder.Event) bool {
 	same := a.At.Equal(b.At)
 	a.At = b.At
 	return same && a == b
 }
 
+// processes returns the names of the processes in sorted events.
 func processes(events []recorder.Event) []string {
 	var names []string
 	for _, event := range events {
@@ -55,8 +56,8 @@
 	return names
 }
 
-// count fills in how many events of each process are known and were dropped.
-func count(clocks []Clock, logs []Log, events []recorder.Event) {
+// countEvents sets Events and Dropped of each clock.
+func countEvents(clocks []Clock, logs []Log, events []recorder.Event) {
 	byName := make(map[string]*Clock)
 	for i := range clocks {
 		byName[clocks[i].Process] = &clocks[i]
@@ -72,6 +73,7 @@
 	}
 }
 
+// align returns the events with their estimated times. events and clocks are sorted by process.
 func align(events []recorder.Event, clocks []Clock) []Entry {
 	entries := make([]Entry, len(events))
 	next := 0
--- a/core/merger/order.go
+++ b/core/merger/order.go
@@ -4,30 +4,30 @@
 	"oleandertally/core/container"
 )
 
-// order is a topological sort in which the earliest ready entry goes first. Entries are sorted
-// by process and sequence number.
+// order is a topological sort that places the earliest ready entry first. Its entries are sorted by process and
+// sequence number.
 type order struct {
-	entries  []Entry
-	effects  [][]int // of each entry, at other processes
-	waits    []int   // causes that are not placed yet
-	placed   []bool
-	queued   []bool
-	ready    container.Heap[int]
-	violated int
+	entries       []Entry
+	effects       [][]int // indexes of the effects of each entry at other processes
+	pending       []int   // number of causes of each entry that are not placed yet
+	placed        []bool
+	queued        []bool
+	ready         container.Heap[int]
+	violatedLinks int
 }
 
 func newOrder(entries []Entry, links []Link) *order {
 	o := &order{
 		entries: entries,
 		effects: make([][]int, len(entries)),
-		waits:   make([]int, len(entries)),
+		pending: make([]int, len(entries)),
 		placed:  make([]bool, len(entries)),
 		queued:  make([]bool, len(entries)),
 	}
 	o.ready.Less = o.less
 	for _, l := range links {
 		o.effects[l.From] = append(o.effects[l.From], l.To)
-		o.waits[l.To]++
+		o.pending[l.To]++
 	}
 	return o
 }
@@ -44,7 +44,7 @@
 	sorted := make([]Entry, 0, len(o.entries))
 	position := make([]int, len(o.entries))
 	for i := range o.entries {
-		o.offer(i)
+		o.enqueueIfReady(i)
 	}
 	for len(sorted) < len(o.entries) {
 		i, ok := o.ready.Pop()
@@ -58,20 +58,21 @@
 	return sorted, position
 }
 
+// place marks entry i as placed and enqueues the entries that become ready by it.
 func (o *order) place(i int) {
 	o.placed[i] = true
 	for _, effect := range o.effects[i] {
-		o.waits[effect]--
-		o.offer(effect)
+		o.pending[effect]--
+		o.enqueueIfReady(effect)
 	}
 	if i+1 < len(o.entries) {
-		o.offer(i + 1)
+		o.enqueueIfReady(i + 1)
 	}
 }
 
-// offer makes entry i ready once its predecessor and all its causes are placed.
-func (o *order) offer(i int) {
-	if !o.queued[i] && o.waits[i] <= 0 && o.isNext(i) {
+// enqueueIfReady makes entry i ready when its predecessor and all its causes are placed.
+func (o *order) enqueueIfReady(i int) {
+	if !o.queued[i] && o.pending[i] <= 0 && o.isNext(i) {
 		o.queued[i] = true
 		o.ready.Push(i)
 	}
@@ -82,8 +83,8 @@
 	return i == 0 || o.entries[i-1].Process != o.entries[i].Process || o.placed[i-1]
 }
 
-// breakCycle picks the earliest entry that only waits for causes at other processes. Dropped
-// events can make links that contradict each other; the rest is still worth showing.
+// breakCycle returns the earliest entry that waits only for causes at other processes. Links can contradict each other
+// when events were dropped; the other entries are still shown in order.
 func (o *order) breakCycle() int {
 	earliest := -1
 	for i := range o.entries {
@@ -91,7 +92,7 @@
 			earliest = i
 		}
 	}
-	o.violated += o.waits[earliest]
+	o.violatedLinks += o.pending[earliest]
 	o.queued[earliest] = true
 	return earliest
 }
--- a/core/merger/page.go
+++ b/core/merger/page.go
@@ -16,7 +16,7 @@
 
 var pageTemplate = template.Must(template.New("page").Parse(pageText))
 
-// page is what page.tmpl shows.
+// page is the data of page.tmpl.
 type page struct {
 	Title    string
 	Summary  [][2]string
@@ -26,8 +26,8 @@
 	Rows     []row
 }
 
-// WriteHTML writes the time line as one page that needs nothing else, with a lane for each
-// process, and with the summary of job on top when job is not zero.
+// WriteHTML writes the time line as one self-contained page with a lane for each process. When job is not zero, the
+// summary of job comes first.
 func WriteHTML(w io.Writer, timeline Timeline, job specifier.JobID) error {
 	p := page{Title: "Time line", Warnings: timeline.Warnings(), Clocks: timeline.Clocks, Drawing: draw(timeline)}
 	if job != (specifier.JobID{}) {
--- a/core/merger/phase.go
+++ b/core/merger/phase.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Phase is a part of a job's time. Each is measured on one clock, or is what remains of a round
-// trip, so that skews don't matter.
+// Phase is a part of a job's response time. Each phase is measured on one clock, or is the remainder of a round trip, so
+// that clock skew does not affect it. The tag keeps the name that tally prints as JSON.
 type Phase struct {
 	Name    string
 	Spent   time.Duration
--- a/core/merger/refusal.go
+++ b/core/merger/refusal.go
@@ -1,6 +1,6 @@
 package merger
 
-// Refusal counts the tasks that agents refused for one cause.
+// Refusal is the number of tasks that agents refused for one cause.
 type Refusal struct {
 	Cause string
 	Tasks int
--- a/core/merger/subject.go
+++ b/core/merger/subject.go
@@ -5,7 +5,7 @@
 	"oleandertally/core/specifier"
 )
 
-// subject is what events are about. Task is empty for events of a whole job.
+// subject identifies the events of one kind about one job or task. task is empty for events of a whole job.
 type subject struct {
 	job  specifier.JobID
 	task string
--- a/core/merger/summarizer.go
+++ b/core/merger/summarizer.go
@@ -8,7 +8,7 @@
 	"oleandertally/core/specifier"
 )
 
-// summarizer finds the steps of one job. A step that is not recorded is nil.
+// summarizer finds the steps of one job. The steps point into entries; a step that is not recorded is nil.
 type summarizer struct {
 	entries []Entry
 	owner   string
@@ -20,28 +20,30 @@
 	queued, started, ended, refused         *Entry // of the task, at the agent
 }
 
-func (s *summarizer) where(keep func(Entry) bool) []Entry {
+func (s *summarizer) filter(matches func(Entry) bool) []Entry {
 	var kept []Entry
 	for _, entry := range s.entries {
-		if keep(entry) {
+		if matches(entry) {
 			kept = append(kept, entry)
 		}
 	}
 	return kept
 }
 
-// first returns the first entry of kind at process after the given entry of the same process.
-func (s *summarizer) first(process string, after *Entry, kind recorder.Kind, keep func(Entry) bool) *Entry {
+// firstAfter returns the first matching entry of kind at process that follows after, or nil. A nil after or matches does
+// not restrict the search.
+func (s *summarizer) firstAfter(process string, after *Entry, kind recorder.Kind, matches func(Entry) bool) *Entry {
 	for i, entry := range s.entries {
 		if entry.Process == process && entry.Kind == kind && (after == nil || entry.Sequence > after.Sequence) &&
-			(keep == nil || keep(entry)) {
+			(matches == nil || matches(entry)) {
 			return &s.entries[i]
 		}
 	}
 	return nil
 }
 
-// findOwner picks the entry with the highest epoch, or else the first one that was asked.
+// findOwner chooses the process that accepted the job or took it over under the highest epoch. When no process did, it
+// chooses the first one to which the job was submitted.
 func (s *summarizer) findOwner() {
 	var epoch specifier.Epoch
 	for i, entry := range s.entries {
@@ -56,13 +58,13 @@
 			}
 		}
 	}
-	s.submitted = s.first(s.owner, s.previousAnswer(), recorder.JobSubmitted, nil)
-	s.proposed = s.first(s.owner, s.submitted, recorder.JobProposed, nil)
-	s.answered = s.first(s.owner, cmp.Or(s.accepted, s.submitted), recorder.JobAnswered, nil)
+	s.submitted = s.firstAfter(s.owner, s.previousAnswer(), recorder.JobSubmitted, nil)
+	s.proposed = s.firstAfter(s.owner, s.submitted, recorder.JobProposed, nil)
+	s.answered = s.firstAfter(s.owner, cmp.Or(s.accepted, s.submitted), recorder.JobAnswered, nil)
 }
 
-// previousAnswer returns the owner's last answer before the acceptance, or nil: what comes
-// before it belongs to an earlier submission of the key.
+// previousAnswer returns the owner's last answer before the acceptance, or nil. Events before that answer belong to an
+// earlier submission of the same key.
 func (s *summarizer) previousAnswer() *Entry {
 	if s.accepted == nil {
 		return nil
@@ -70,7 +72,7 @@
 	return s.last(s.owner, recorder.JobAnswered, func(e Entry) bool { return e.Sequence < s.accepted.Sequence })
 }
 
-// findTask follows the task that was returned last, or else the one that was assigned last.
+// findTask chooses the task that was returned last, or the task that was assigned last when none was returned.
 func (s *summarizer) findTask() {
 	for _, kind := range []recorder.Kind{recorder.TaskAssigned, recorder.TaskReturned} {
 		for i, entry := range s.entries {
@@ -88,11 +90,11 @@
 	}
 }
 
-// followTask finds the task's steps from its last assignment on: earlier ones were refused.
+// followTask finds the task's steps from its last assignment on, because earlier assignments were refused.
 func (s *summarizer) followTask() {
 	for i, entry := range s.entries {
-		isLast := s.returned == nil || entry.Sequence < s.returned.Sequence
-		if entry.Process == s.owner && entry.Kind == recorder.TaskAssigned && entry.Task == s.task && isLast {
+		isBeforeReturn := s.returned == nil || entry.Sequence < s.returned.Sequence
+		if entry.Process == s.owner && entry.Kind == recorder.TaskAssigned && entry.Task == s.task && isBeforeReturn {
 			s.assigned = &s.entries[i]
 		}
 	}
@@ -106,8 +108,8 @@
 		}
 	}
 	if s.queued != nil {
-		s.started = s.first(s.agent, s.queued, recorder.TaskStarted, ofTask)
-		s.ended = s.first(s.agent, s.queued, recorder.TaskEnded, ofTask)
+		s.started = s.firstAfter(s.agent, s.queued, recorder.TaskStarted, ofTask)
+		s.ended = s.firstAfter(s.agent, s.queued, recorder.TaskEnded, ofTask)
 	}
 	if s.ended == nil {
 		s.refused = s.findRefusal(ofTask)
@@ -125,19 +127,20 @@
 	return refused
 }
 
-func (s *summarizer) last(process string, kind recorder.Kind, keep func(Entry) bool) *Entry {
+// last returns the last matching entry of kind at process, or nil.
+func (s *summarizer) last(process string, kind recorder.Kind, matches func(Entry) bool) *Entry {
 	var last *Entry
 	for i, entry := range s.entries {
-		if entry.Process == process && entry.Kind == kind && keep(entry) {
+		if entry.Process == process && entry.Kind == kind && matches(entry) {
 			last = &s.entries[i]
 		}
 	}
 	return last
 }
 
-// until returns the time from one entry to another of the same process, or to the process's
-// last entry when there is none.
-func (s *summarizer) until(from, to *Entry) time.Duration {
+// durationBetween returns the time between two entries of the same process. When to is nil, the process's last entry
+// takes its place.
+func (s *summarizer) durationBetween(from, to *Entry) time.Duration {
 	if to == nil {
 		to = from
 		for i, entry := range s.entries {
@@ -149,6 +152,7 @@
 	return to.At.Sub(from.At)
 }
 
+// countTasks returns the number of distinct tasks in the entries.
 func (s *summarizer) countTasks() int {
 	tasks := make(map[string]bool)
 	for _, entry := range s.entries {
@@ -159,13 +163,12 @@
 	return len(tasks)
 }
 
-// isRefused reports whether the last assignment of the task was refused, so that it waits at the
-// entry again.
+// isRefused reports whether the last assignment of the task was refused. The task then waits at the entry again.
 func (s *summarizer) isRefused() bool {
 	return s.refused != nil || s.returned != nil && recorder.IsRefusal(s.returned.Event)
 }
 
-// refusals counts what the entries were told, because agents do not record every refusal.
+// refusals counts the refusals that entries received, because agents do not record every refusal.
 func (s *summarizer) refusals() []Refusal {
 	var found []Refusal
 	position := make(map[string]int)
--- a/core/merger/summary.go
+++ b/core/merger/summary.go
@@ -9,19 +9,19 @@
 	"oleandertally/core/specifier"
 )
 
-// Summary says for one job where its time went and how it was answered. The phases follow the
-// task that was returned last.
+// Summary shows where the time of one job was spent and how the job was answered. The phases follow the task that was
+// returned last.
 type Summary struct {
 	Job      specifier.JobID
-	Owner    string // the entry that the phases are about
+	Owner    string // the process that the phases describe
 	Task     string // empty when no task was assigned
-	Tasks    int    // that some event names
+	Tasks    int    // number of distinct tasks in the events
 	Total    time.Duration
 	Answered bool
 	Phases   []Phase
 	Answers  []Entry
 	Refusals []Refusal // by agents, in order of appearance
-	Epochs   []Entry   // JobAccepted and JobTaken, when there is more than one
+	Epochs   []Entry   // the JobAccepted and JobTaken events, by epoch
 }
 
 // Summarize returns the summary of job.
@@ -30,20 +30,20 @@
 	s.findOwner()
 	s.findTask()
 	summary := Summary{Job: job, Owner: s.owner, Task: s.task}
-	summary.Answers = s.where(func(e Entry) bool { return e.Kind == recorder.JobAnswered })
-	summary.Epochs = s.where(func(e Entry) bool { return e.Kind == recorder.JobAccepted || e.Kind == recorder.JobTaken })
+	summary.Answers = s.filter(func(e Entry) bool { return e.Kind == recorder.JobAnswered })
+	summary.Epochs = s.filter(func(e Entry) bool { return e.Kind == recorder.JobAccepted || e.Kind == recorder.JobTaken })
 	slices.SortStableFunc(summary.Epochs, func(a, b Entry) int { return cmp.Compare(a.Epoch, b.Epoch) })
 	summary.Tasks = s.countTasks()
 	summary.Refusals = s.refusals()
 	if s.submitted != nil {
 		summary.Answered = s.answered != nil
-		summary.Total = s.until(s.submitted, s.answered)
+		summary.Total = s.durationBetween(s.submitted, s.answered)
 		summary.Phases = s.phases()
 	}
 	return summary
 }
 
-// Refused returns the first answer that says NotRun, or nil.
+// Refused returns the first answer whose outcome is NotRun, or nil.
 func (s Summary) Refused() *Entry {
 	for i, answer := range s.Answers {
 		if recorder.ParseAnswer(answer.Detail).Outcome == specifier.NotRun {
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// Longest returns the phase that took most of the time, or nil.
+// Longest returns the phase that took the longest, or nil.
 func (s Summary) Longest() *Phase {
 	var longest *Phase
 	for i, phase := range s.Phases {
--- a/core/merger/text.go
+++ b/core/merger/text.go
@@ -12,14 +12,13 @@
 	"oleandertally/core/specifier"
 )
 
-// timeFormat shows microseconds: a placement or a hop inside a zone takes less than 1 ms.
+// timeFormat shows microseconds, because a placement or a network hop inside a zone takes less than 1 ms.
 const timeFormat = "15:04:05.000000"
 
-// trailing is the padding of empty columns at the end of a line.
-var trailing = regexp.MustCompile(`(?m) +$`)
+// trailingSpaces matches the padding of empty columns at the end of a line.
+var trailingSpaces = regexp.MustCompile(`(?m) +$`)
 
-// WriteText writes the time line for a terminal, with the summary of job on top when job is
-// not zero.
+// WriteText writes the time line for a terminal. When job is not zero, the summary of job comes first.
 func WriteText(w io.Writer, timeline Timeline, job specifier.JobID) error {
 	var text bytes.Buffer
 	table := tabwriter.NewWriter(&text, 0, 0, 2, ' ', 0)
@@ -34,8 +33,8 @@
 	}
 	writeClocks(table, timeline.Clocks)
 	writeEntries(table, timeline.Entries)
-	table.Flush() // writes to memory, cannot fail
-	_, err := w.Write(trailing.ReplaceAll(text.Bytes(), nil))
+	table.Flush() // cannot fail: it writes to memory
+	_, err := w.Write(trailingSpaces.ReplaceAll(text.Bytes(), nil))
 	return err
 }
 
@@ -75,19 +74,19 @@
 	return "+" + round(d).String()
 }
 
-// Bounds returns the interval that holds the skew, for people.
+// Bounds returns the text of the interval that contains the skew.
 func (c Clock) Bounds() string {
-	least, most := "unknown", "unknown"
+	lower, upper := "unknown", "unknown"
 	if c.HasMinSkew {
-		least = round(c.MinSkew).String()
+		lower = round(c.MinSkew).String()
 	}
 	if c.HasMaxSkew {
-		most = round(c.MaxSkew).String()
+		upper = round(c.MaxSkew).String()
 	}
-	return least + " to " + most
+	return lower + " to " + upper
 }
 
-// Warnings says what makes the time line less certain.
+// Warnings returns the reasons why the order or the times may be wrong.
 func (t Timeline) Warnings() []string {
 	var lines []string
 	if !t.Consistent {
--- a/core/merger/timeline.go
+++ b/core/merger/timeline.go
@@ -9,16 +9,16 @@
 // Timeline is the events of many processes in causal order.
 type Timeline struct {
 	Entries []Entry
-	Clocks  []Clock // by process
+	Clocks  []Clock // sorted by process
 	Links   []Link  // between Entries
-	// Consistent is false when the causes and clocks contradict each other: a clock was set
-	// during the span, or events are missing. Then the skews come from the gathering alone.
+	// Consistent is false when the links and the clocks contradict each other, because a clock was set during the span
+	// or events are missing. The skews are then estimated only from the exchanges that fetched the logs.
 	Consistent bool
-	// ViolatedLinks counts causes that the order could not respect because they form a cycle.
+	// ViolatedLinks counts the links that the order does not respect, because they form a cycle.
 	ViolatedLinks int
 }
 
-// Events returns the events in order, with aligned times, as verifier.Check wants them.
+// Events returns the events in order, with aligned times. verifier.Check expects this form.
 func (t Timeline) Events() []recorder.Event {
 	events := make([]recorder.Event, len(t.Entries))
 	for i, entry := range t.Entries {
@@ -28,8 +28,8 @@
 	return events
 }
 
-// Filter returns the entries that filter selects, with its span on the reference clock, and the
-// clocks of their processes.
+// Filter returns the entries that filter selects and the clocks of their processes. The span of the filter is on the
+// reference clock.
 func (t Timeline) Filter(filter recorder.Filter) Timeline {
 	kept := Timeline{Consistent: t.Consistent, ViolatedLinks: t.ViolatedLinks}
 	position := make([]int, len(t.Entries))
