--- a/core/merger/merge_test.go
+++ b/core/merger/merge_test.go
@@ -14,23 +14,26 @@
 	"oleandertally/core/specifier"
 )
 
-type place struct {
+// eventID identifies an event.
+type eventID struct {
 	process  string
 	sequence uint64
 }
 
+// assertRespects checks that every cause comes before its effect.
 func assertRespects(t must.T, timeline Timeline, causes []cause) {
 	t.Helper()
-	position := make(map[place]int)
+	position := make(map[eventID]int)
 	for i, entry := range timeline.Entries {
-		position[place{entry.Process, entry.Sequence}] = i
+		position[eventID{entry.Process, entry.Sequence}] = i
 	}
 	for _, c := range causes {
-		from, to := position[place{c.from.Process, c.from.Sequence}], position[place{c.to.Process, c.to.Sequence}]
+		from, to := position[eventID{c.from.Process, c.from.Sequence}], position[eventID{c.to.Process, c.to.Sequence}]
 		must.Less(t, to, from, must.Sprintf("%s at %s before %s at %s", c.from.Kind, c.from.Process, c.to.Kind, c.to.Process))
 	}
 }
 
+// assertBounds checks that the true skews lie within the bounds of the clocks.
 func assertBounds(t must.T, timeline Timeline, w *world, reference time.Duration) {
 	t.Helper()
 	for _, clock := range timeline.Clocks {
@@ -40,8 +43,8 @@
 	}
 }
 
-// randomWorld plays jobs over random processes, with refused and repeated tasks, lost messages,
-// takeovers and attached callers.
+// randomWorld records random jobs over random processes, with refused and repeated tasks, lost messages, takeovers and
+// attached callers.
 func randomWorld(t *rapid.T) *world {
 	w := newWorld()
 	var entries, agents []string
@@ -61,31 +64,32 @@
 	return w
 }
 
+// playJob records one job from its submission to its answer, starting at now, and returns the time of its last event.
 func playJob(t *rapid.T, w *world, job specifier.JobID, entries, agents []string, now int) int {
-	step := func(least int) int { now += least + rapid.IntRange(0, 40).Draw(t, "step"); return now }
-	about := recorder.Event{Job: job}
+	step := func(minStep int) int { now += minStep + rapid.IntRange(0, 40).Draw(t, "step"); return now }
+	base := recorder.Event{Job: job}
 	owner := rapid.SampledFrom(entries).Draw(t, "owner")
-	w.add(step(0), owner, kinded(about, recorder.JobSubmitted))
-	proposed := w.add(step(0), owner, kinded(about, recorder.JobProposed))
-	about.Epoch = 1
-	accepted := w.add(step(0), owner, kinded(about, recorder.JobAccepted))
+	w.add(step(0), owner, withKind(base, recorder.JobSubmitted))
+	proposed := w.add(step(0), owner, withKind(base, recorder.JobProposed))
+	base.Epoch = 1
+	accepted := w.add(step(0), owner, withKind(base, recorder.JobAccepted))
 	attachedAt := ""
 	if rapid.Bool().Draw(t, "taken over") {
-		about.Epoch = 2
-		owner = takeOver(w, step, about, owner, entries, agents, proposed)
+		base.Epoch = 2
+		owner = takeOver(w, step, base, owner, entries, agents, proposed)
 	} else if next := other(entries, owner); rapid.Bool().Draw(t, "attached") {
-		attached := kinded(about, recorder.JobAttached)
+		attached := withKind(base, recorder.JobAttached)
 		attached.Other = accepted.Process
 		w.add(step(0), next, attached, proposed)
 		attachedAt = next
 	}
 	var ends []recorder.Event
 	for i := range rapid.IntRange(1, 4).Draw(t, "tasks") {
-		about.Task = taskName(i)
-		ends = append(ends, playTask(t, w, step, about, owner, agents))
+		base.Task = taskName(i)
+		ends = append(ends, playTask(t, w, step, base, owner, agents))
 	}
-	about.Task = ""
-	answered := kinded(about, recorder.JobAnswered)
+	base.Task = ""
+	answered := withKind(base, recorder.JobAnswered)
 	answered.Detail = "Complete"
 	w.add(step(0), owner, answered, ends...)
 	if attachedAt != "" {
@@ -94,46 +98,49 @@
 	return now
 }
 
+// other returns an entry that is not the owner.
 func other(entries []string, owner string) string {
 	return entries[(slices.Index(entries, owner)+1)%len(entries)]
 }
 
-func takeOver(w *world, step func(int) int, about recorder.Event, owner string, entries, agents []string, proposed recorder.Event) string {
+// takeOver records that another entry takes the job over and that all agents fence it. It returns the new owner.
+func takeOver(w *world, step func(int) int, base recorder.Event, owner string, entries, agents []string, proposed recorder.Event) string {
 	next := other(entries, owner)
-	taken := kinded(about, recorder.JobTaken)
+	taken := withKind(base, recorder.JobTaken)
 	taken.Other = owner
 	taken = w.add(step(0), next, taken, proposed)
 	for _, agent := range agents {
-		w.add(step(0), agent, kinded(about, recorder.JobFenced), taken)
+		w.add(step(0), agent, withKind(base, recorder.JobFenced), taken)
 	}
 	return next
 }
 
-func playTask(t *rapid.T, w *world, step func(int) int, about recorder.Event, owner string, agents []string) recorder.Event {
+// playTask records refused or lost assignments of a task, then one that runs. It returns the end of the task.
+func playTask(t *rapid.T, w *world, step func(int) int, base recorder.Event, owner string, agents []string) recorder.Event {
 	for range rapid.IntRange(0, 2).Draw(t, "refusals") {
 		agent := rapid.SampledFrom(agents).Draw(t, "refusing")
-		toAgent, toEntry := kinded(about, recorder.TaskAssigned), kinded(about, recorder.TaskRefused)
+		toAgent, toEntry := withKind(base, recorder.TaskAssigned), withKind(base, recorder.TaskRefused)
 		toAgent.Other, toEntry.Other, toEntry.Detail = agent, owner, "Full"
-		w.send(step(0), owner, agent, about)
+		w.send(step(0), owner, agent, base)
 		if rapid.Bool().Draw(t, "lost") {
 			continue
 		}
 		if rapid.Bool().Draw(t, "refused without a record") {
 			toAgent.Detail = recorder.RefusedDetail("Draining")
-			w.add(step(0), owner, kinded(toAgent, recorder.TaskReturned))
+			w.add(step(0), owner, withKind(toAgent, recorder.TaskReturned))
 			continue
 		}
 		refused := w.arrive(step(0), agent, toEntry)
 		toAgent.Detail = recorder.RefusedDetail("Full")
-		w.add(step(0), owner, kinded(toAgent, recorder.TaskReturned), refused)
+		w.add(step(0), owner, withKind(toAgent, recorder.TaskReturned), refused)
 	}
 	agent := rapid.SampledFrom(agents).Draw(t, "agent")
-	end := w.run(step(0), owner, agent, about, 3, 5, 50, 1)
+	end := w.run(step(0), owner, agent, base, 3, 5, 50, 1)
 	step(3 + 5 + 50 + 1)
 	return end
 }
 
-// Guards against an effect shown before its cause, however far the clocks are apart.
+// Guards against an effect that is shown before its cause because the clocks of two processes differ.
 func TestOrderRespectsCauses(t *testing.T) {
 	t.Run("constant skews", rapid.MakeCheck(func(t *rapid.T) {
 		w := randomWorld(t)
@@ -168,7 +175,8 @@
 	}))
 }
 
-// Guards against a result that depends on the order of the logs, and events that are shown twice.
+// Guards against a result that depends on the order of the logs, and against events that are shown twice because two
+// logs contain them.
 func TestMergeIsIndependentOfLogOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		logs := randomWorld(t).logs(60_000, true)
@@ -179,7 +187,7 @@
 	})
 }
 
-// Guards against a time line that is lost because dropped events make causes contradict.
+// Guards against missing entries. When events were dropped, the remaining links can contradict each other.
 func TestMergeShowsAllDespiteMissingEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := randomWorld(t)
--- a/core/merger/render_test.go
+++ b/core/merger/render_test.go
@@ -41,53 +41,56 @@
 	must.Eq(t, string(want), got.String())
 }
 
+// skewedWorld returns a world in which all clocks differ.
 func skewedWorld() *world {
 	w := newWorld()
 	w.skew = map[string]time.Duration{entryA: 0, entryB: -7 * time.Second, workerA: 3 * time.Second, workerB: -250 * time.Millisecond}
 	return w
 }
 
+// submit records that a caller submits job to entry and that the entry proposes it.
 func (w *world) submit(ms int, entry string, job specifier.JobID) {
 	w.add(ms, entry, recorder.Event{Kind: recorder.JobSubmitted, Job: job})
 	w.add(ms+1, entry, recorder.Event{Kind: recorder.JobProposed, Job: job})
 }
 
+// answer records that entry answers the caller of job.
 func (w *world) answer(ms int, entry string, job specifier.JobID, epoch specifier.Epoch, answer specifier.Answer) {
 	w.add(ms, entry, recorder.Event{Kind: recorder.JobAnswered, Job: job, Epoch: epoch, Detail: recorder.FormatAnswer(answer)})
 }
 
-// waited is a job of two tasks of which one waits long in an agent's queue.
+// waited is a job of two tasks, of which one waits 740 ms in an agent's queue.
 func waited() Timeline {
 	w := skewedWorld()
 	w.submit(0, entryA, cutPlan)
-	about := recorder.Event{Job: cutPlan, Epoch: 1}
-	w.add(6, entryA, kinded(about, recorder.JobAccepted))
-	about.Task = "plan-1"
-	w.run(8, entryA, workerA, about, 1, 1, 60, 1)
-	about.Task = "plan-2"
-	w.run(80, entryA, workerB, about, 1, 740, 80, 1)
+	base := recorder.Event{Job: cutPlan, Epoch: 1}
+	w.add(6, entryA, withKind(base, recorder.JobAccepted))
+	base.Task = "plan-1"
+	w.run(8, entryA, workerA, base, 1, 1, 60, 1)
+	base.Task = "plan-2"
+	w.run(80, entryA, workerB, base, 1, 740, 80, 1)
 	w.answer(903, entryA, cutPlan, 1, specifier.Answer{Outcome: specifier.Complete})
 	return Merge(w.logs(2000, true))
 }
 
-// refused is a hold that waits at its entry and is refused when its deadline has passed.
+// refused is a job that two agents refuse, so that it waits at its entry until its deadline passes.
 func refused() Timeline {
 	w := skewedWorld()
 	w.submit(0, entryA, hold)
 	w.add(6, entryA, recorder.Event{Kind: recorder.JobAccepted, Job: hold, Epoch: 1})
 	for i, agent := range []string{workerA, workerB} {
-		about := recorder.Event{Job: hold, Epoch: 1, Task: "seat-1"}
-		w.send(40*i+300, entryA, agent, about)
-		about.Other, about.Detail = entryA, "queue is full"
-		replied := w.arrive(40*i+301, agent, kinded(about, recorder.TaskRefused))
-		about.Other, about.Detail = agent, recorder.RefusedDetail(about.Detail)
-		w.add(40*i+302, entryA, kinded(about, recorder.TaskReturned), replied)
+		base := recorder.Event{Job: hold, Epoch: 1, Task: "seat-1"}
+		w.send(40*i+300, entryA, agent, base)
+		base.Other, base.Detail = entryA, "queue is full"
+		replied := w.arrive(40*i+301, agent, withKind(base, recorder.TaskRefused))
+		base.Other, base.Detail = agent, recorder.RefusedDetail(base.Detail)
+		w.add(40*i+302, entryA, withKind(base, recorder.TaskReturned), replied)
 	}
 	w.answer(900, entryA, hold, 1, specifier.Refuse(specifier.DeadlinePast, "no slot before the deadline"))
 	return Merge(w.logs(2000, true))
 }
 
-// tooLate is a hold that is refused before it is proposed.
+// tooLate is a job that is refused before it is proposed, because its deadline is too short.
 func tooLate() Timeline {
 	w := skewedWorld()
 	w.add(0, entryA, recorder.Event{Kind: recorder.JobSubmitted, Job: hold})
@@ -95,24 +98,25 @@
 	return Merge(w.logs(2000, true))
 }
 
-// takenOver is a job whose owner dies; nothing bounds the clocks but messages.
+// takenOver is a job whose owner terminates, so that another entry takes it over. The logs have no request times:
+// only messages bound the skews.
 func takenOver() Timeline {
 	w := skewedWorld()
 	w.submit(0, entryA, cutPlan)
-	about := recorder.Event{Job: cutPlan, Epoch: 1}
-	w.add(6, entryA, kinded(about, recorder.JobAccepted))
+	base := recorder.Event{Job: cutPlan, Epoch: 1}
+	w.add(6, entryA, withKind(base, recorder.JobAccepted))
 	w.submit(500, entryB, cutPlan)
-	about.Epoch, about.Other = 2, entryA
-	taken := w.add(508, entryB, kinded(about, recorder.JobTaken))
-	about.Other = ""
-	w.add(510, workerA, kinded(about, recorder.JobFenced), taken)
-	about.Task = "plan <1>"
-	w.run(520, entryB, workerA, about, 1, 2, 50, 1)
+	base.Epoch, base.Other = 2, entryA
+	taken := w.add(508, entryB, withKind(base, recorder.JobTaken))
+	base.Other = ""
+	w.add(510, workerA, withKind(base, recorder.JobFenced), taken)
+	base.Task = "plan <1>"
+	w.run(520, entryB, workerA, base, 1, 2, 50, 1)
 	return Merge(w.logs(0, false))
 }
 
 // Guards against a rendering that changes without notice, and a summary that names the wrong
-// cause or place.
+// cause or eventID.
 func TestRenderings(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -133,7 +137,7 @@
 	}
 }
 
-// Guards against a page that loads something from outside, or shows markup from an event.
+// Guards against a page that loads external resources, or that contains unescaped markup from an event.
 func TestPageIsSelfContained(t *testing.T) {
 	var got bytes.Buffer
 	must.NoError(t, WriteHTML(&got, takenOver(), cutPlan))
@@ -154,7 +158,7 @@
 	t.Fatalf("no phase %q", name)
 }
 
-// Guards against time that is counted for the wrong place.
+// Guards against time that is counted for the wrong eventID.
 func TestSummarize(t *testing.T) {
 	t.Run("a cut plan that waited in a queue", func(t *testing.T) {
 		summary := Summarize(waited(), cutPlan)
@@ -178,11 +182,11 @@
 	t.Run("a hold that an agent refused without a record", func(t *testing.T) {
 		w := skewedWorld()
 		w.submit(0, entryA, hold)
-		about := recorder.Event{Job: hold, Epoch: 1, Task: "seat-1"}
-		w.add(6, entryA, kinded(recorder.Event{Job: hold, Epoch: 1}, recorder.JobAccepted))
-		w.send(7, entryA, workerA, about)
-		about.Other, about.Detail = workerA, recorder.RefusedDetail("NoLease")
-		w.add(9, entryA, kinded(about, recorder.TaskReturned))
+		base := recorder.Event{Job: hold, Epoch: 1, Task: "seat-1"}
+		w.add(6, entryA, withKind(recorder.Event{Job: hold, Epoch: 1}, recorder.JobAccepted))
+		w.send(7, entryA, workerA, base)
+		base.Other, base.Detail = workerA, recorder.RefusedDetail("NoLease")
+		w.add(9, entryA, withKind(base, recorder.TaskReturned))
 		w.answer(900, entryA, hold, 1, specifier.Refuse(specifier.DeadlinePast, ""))
 		summary := Summarize(Merge(w.logs(2000, true)), hold)
 		must.Eq(t, []Refusal{{Cause: "NoLease", Tasks: 1}}, summary.Refusals)
--- a/core/merger/world_test.go
+++ b/core/merger/world_test.go
@@ -9,18 +9,18 @@
 	"oleandertally/core/specifier"
 )
 
-var nine = time.Date(2026, 5, 4, 9, 0, 0, 0, time.UTC)
+var baseTime = time.Date(2026, 5, 4, 9, 0, 0, 0, time.UTC)
 
-// world records events at true times on the skewed clocks of their processes, and remembers the
-// true causes.
+// world is a simulated cluster. It records events at true times on the skewed clocks of their processes, together with
+// their true causes.
 type world struct {
 	skew   map[string]time.Duration
 	events map[string][]recorder.Event
 	causes []cause
-	sent   map[assignment][]recorder.Event // without an arrival yet
+	sent   map[assignment][]recorder.Event // assignments that have not arrived yet
 }
 
-// cause says that from truly happened before to.
+// cause is a pair of events of which from happened before to.
 type cause struct {
 	from, to recorder.Event
 }
@@ -36,15 +36,15 @@
 	agent string
 }
 
-// send records that entry sends the task of about to agent.
-func (w *world) send(ms int, entry, agent string, about recorder.Event) {
-	about.Other = agent
-	key := assignment{key: specifier.TaskKey{Job: about.Job, Task: about.Task}, agent: agent}
-	w.sent[key] = append(w.sent[key], w.add(ms, entry, kinded(about, recorder.TaskAssigned)))
+// send records that entry sends the task of the event base to agent.
+func (w *world) send(ms int, entry, agent string, base recorder.Event) {
+	base.Other = agent
+	key := assignment{key: specifier.TaskKey{Job: base.Job, Task: base.Task}, agent: agent}
+	w.sent[key] = append(w.sent[key], w.add(ms, entry, withKind(base, recorder.TaskAssigned)))
 }
 
-// arrive records event at agent. Its known cause is the oldest send without an arrival: when a
-// send was lost, no event says which one arrived.
+// arrive records event at agent. Its recorded cause is the oldest send that has not arrived: when a send was lost, no
+// event shows which one arrived.
 func (w *world) arrive(ms int, agent string, event recorder.Event) recorder.Event {
 	key := assignment{key: specifier.TaskKey{Job: event.Job, Task: event.Task}, agent: agent}
 	oldest := w.sent[key][0]
@@ -52,9 +52,9 @@
 	return w.add(ms, agent, event, oldest)
 }
 
-// add records event at process when ms milliseconds of true time have passed.
+// add records event at process, ms milliseconds of true time after baseTime.
 func (w *world) add(ms int, process string, event recorder.Event, causes ...recorder.Event) recorder.Event {
-	event.At = nine.Add(time.Duration(ms)*time.Millisecond + w.skew[process])
+	event.At = baseTime.Add(time.Duration(ms)*time.Millisecond + w.skew[process])
 	event.Process = process
 	event.Sequence = uint64(len(w.events[process]) + 1)
 	if before := w.events[process]; len(before) > 0 {
@@ -67,13 +67,13 @@
 	return event
 }
 
-// logs returns the log of each process, gathered at ms in an exchange of 2 ms when timed.
+// logs returns the log of each process. When timed, each log is requested at ms in an exchange of 2 ms.
 func (w *world) logs(ms int, timed bool) []Log {
 	var logs []Log
 	for process, events := range w.events {
 		log := Log{Events: events}
 		if timed {
-			log.RequestedAt = nine.Add(time.Duration(ms) * time.Millisecond)
+			log.RequestedAt = baseTime.Add(time.Duration(ms) * time.Millisecond)
 			log.RepliedAt = log.RequestedAt.Add(2 * time.Millisecond)
 			log.ProcessTime = log.RequestedAt.Add(time.Millisecond + w.skew[process])
 		}
@@ -90,13 +90,13 @@
 	return 1
 }
 
-// process returns the identity of a run in the tests.
+// process returns the text of an identity: the name and the incarnation run.
 func process(name string, run int) string {
 	return specifier.Identity{Name: name, Incarnation: specifier.Incarnation(run)}.String()
 }
 
-// run plays a task from assignment to return.
-func (w *world) run(ms int, entry, agent string, about recorder.Event, times ...int) recorder.Event {
+// run records a task from assignment to return. times are the milliseconds from each step to the next.
+func (w *world) run(ms int, entry, agent string, base recorder.Event, times ...int) recorder.Event {
 	at := func(i int) int {
 		for _, t := range times[:i] {
 			ms += t
@@ -104,17 +104,17 @@
 		times = times[i:]
 		return ms
 	}
-	toAgent, toEntry := about, about
+	toAgent, toEntry := base, base
 	toAgent.Other, toEntry.Other = agent, entry
-	w.send(ms, entry, agent, about)
-	w.arrive(at(1), agent, kinded(toEntry, recorder.TaskQueued))
-	w.add(at(1), agent, kinded(about, recorder.TaskStarted))
-	ended := w.add(at(1), agent, kinded(about, recorder.TaskEnded))
-	w.add(at(1), entry, kinded(toAgent, recorder.TaskReturned), ended)
+	w.send(ms, entry, agent, base)
+	w.arrive(at(1), agent, withKind(toEntry, recorder.TaskQueued))
+	w.add(at(1), agent, withKind(base, recorder.TaskStarted))
+	ended := w.add(at(1), agent, withKind(base, recorder.TaskEnded))
+	w.add(at(1), entry, withKind(toAgent, recorder.TaskReturned), ended)
 	return ended
 }
 
-func kinded(event recorder.Event, kind recorder.Kind) recorder.Event {
+func withKind(event recorder.Event, kind recorder.Kind) recorder.Event {
 	event.Kind = kind
 	return event
 }
