--- a/core/merger/render_test.go
+++ b/core/merger/render_test.go
@@ -115,8 +115,7 @@
 	return Merge(w.logs(0, false))
 }
 
-// Guards against a rendering that changes without notice, and a summary that names the wrong
-// cause or eventID.
+// Guards against a rendering that changes unnoticed, and against a summary that names the wrong cause or process.
 func TestRenderings(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -158,7 +157,7 @@
 	t.Fatalf("no phase %q", name)
 }
 
-// Guards against time that is counted for the wrong eventID.
+// Guards against time that is counted for the wrong phase.
 func TestSummarize(t *testing.T) {
 	t.Run("a cut plan that waited in a queue", func(t *testing.T) {
 		summary := Summarize(waited(), cutPlan)
