--- a/core/recorder/buffer.go
+++ b/core/recorder/buffer.go
@@ -8,11 +8,10 @@
 	"oleandertally/core/container"
 )
 
-// Buffer keeps the newest events of one process. Fields are set before use; it is safe for
-// concurrent use.
+// Buffer keeps the newest events of one process. Its exported fields are set before use. It is safe for concurrent use.
 type Buffer struct {
 	Process string
-	Cap     int // events kept
+	Cap     int // maximum number of events
 	Clock   func() time.Time
 
 	mutex    sync.Mutex
@@ -20,7 +19,7 @@
 	sequence uint64
 }
 
-// Add stamps the event with the process, its sequence number and the time, and keeps it.
+// Add sets the process, the sequence number and the time of event, and stores it.
 func (b *Buffer) Add(event Event) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -30,7 +29,7 @@
 	b.ring.Add(event)
 }
 
-// SetProcess changes Process for the events from now on, which are counted from 1 again.
+// SetProcess changes Process for later events. Their sequence numbers start at 1 again.
 func (b *Buffer) SetProcess(process string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -39,15 +38,14 @@
 	}
 }
 
-// All returns the kept events, oldest first, and how many were dropped.
+// All returns the stored events, oldest first, and the number of events that were dropped.
 func (b *Buffer) All() ([]Event, int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.ring.All(), b.ring.Dropped()
 }
 
-// Select returns the kept events that filter selects, oldest first, and how many events of any
-// kind were dropped.
+// Select returns the stored events that filter selects, oldest first, and the number of all events that were dropped.
 func (b *Buffer) Select(filter Filter) ([]Event, int) {
 	all, dropped := b.All()
 	return slices.DeleteFunc(all, func(event Event) bool { return !filter.Matches(event) }), dropped
--- a/core/recorder/doc.go
+++ b/core/recorder/doc.go
@@ -1,3 +1,3 @@
-// Package recorder keeps the events of one process in a small bounded buffer, from which the
-// time line over all processes is gathered on demand.
+// Package recorder stores the newest events of one process in a bounded buffer. Clients fetch the events of all processes
+// on demand and merge them into one time line.
 package recorder
--- a/core/recorder/event.go
+++ b/core/recorder/event.go
@@ -6,15 +6,15 @@
 	"oleandertally/core/specifier"
 )
 
-// Event is one entry of the time line.
+// Event is one event of the time line, as its process recorded it.
 type Event struct {
-	At       time.Time // on the clock of Process; not comparable between hosts
-	Process  string    // specifier.Identity.String() of the run, so that a restart is a lane of its own
-	Sequence uint64    // counts the events of Process from 1
+	At       time.Time // on the clock of Process; clocks of different hosts differ
+	Process  string    // specifier.Identity.String() with the incarnation, so that a restarted process is a process of its own
+	Sequence uint64    // number of the event within Process, from 1
 	Kind     Kind
 	Job      specifier.JobID
 	Task     string
 	Epoch    specifier.Epoch
-	Other    string // the peer, by name or by Identity.String()
+	Other    string // the peer: its name or its Identity.String()
 	Detail   string
 }
--- a/core/recorder/filter.go
+++ b/core/recorder/filter.go
@@ -2,10 +2,10 @@
 
 import "oleandertally/core/specifier"
 
-// Filter selects events. The zero value of a field selects all.
+// Filter selects events. A field with the zero value does not restrict the selection.
 type Filter struct {
 	Job    specifier.JobID
-	Worker string // the process of the event, or its peer, by name or identity
+	Worker string // name or identity of the event's process or of its peer
 	Span   Span   // on the clock of each event's process
 }
 
--- a/core/recorder/filter_test.go
+++ b/core/recorder/filter_test.go
@@ -10,14 +10,15 @@
 )
 
 var (
-	nine  = time.Date(2026, 5, 4, 9, 0, 0, 0, time.UTC)
-	hold  = specifier.NewJobID("reservas", "hold-1")
-	quote = specifier.NewJobID("ventas", "quote-1")
+	baseTime = time.Date(2026, 5, 4, 9, 0, 0, 0, time.UTC)
+	hold     = specifier.NewJobID("reservas", "hold-1")
+	quote    = specifier.NewJobID("ventas", "quote-1")
 )
 
-// newBuffer holds six events: three of each job, to three workers, one second apart.
+// newBuffer returns a buffer to which six events were added one second apart: for each of two jobs, one event for each
+// of three workers.
 func newBuffer(size int) *Buffer {
-	now := nine
+	now := baseTime
 	buffer := &Buffer{Process: "entry-a/0000000000000001", Cap: size, Clock: func() time.Time { return now }}
 	for _, job := range []specifier.JobID{hold, quote} {
 		for _, worker := range []string{"worker-a", "worker-b/0000000000000002", "worker-b/0000000000000003"} {
@@ -38,7 +39,7 @@
 	must.Eq(t, sequences, got)
 }
 
-// Guards against events of another job, worker or time in the answer, and missing ones.
+// Guards against a selection that contains events of another job, worker or time, or that lacks events.
 func TestFilter(t *testing.T) {
 	t.Run("all", func(t *testing.T) { assertSelected(t, Filter{}, 1, 2, 3, 4, 5, 6) })
 	t.Run("job", func(t *testing.T) { assertSelected(t, Filter{Job: quote}, 4, 5, 6) })
@@ -48,11 +49,11 @@
 	})
 	t.Run("own process", func(t *testing.T) { assertSelected(t, Filter{Worker: "entry-a", Job: hold}, 1, 2, 3) })
 	t.Run("span", func(t *testing.T) {
-		assertSelected(t, Filter{Span: Span{From: nine.Add(time.Second), To: nine.Add(2 * time.Second)}}, 2, 3)
+		assertSelected(t, Filter{Span: Span{From: baseTime.Add(time.Second), To: baseTime.Add(2 * time.Second)}}, 2, 3)
 	})
 }
 
-// Guards against a full buffer that hides how much it lost.
+// Guards against a full buffer that does not report how many events it dropped.
 func TestSelectCountsDropped(t *testing.T) {
 	events, dropped := newBuffer(4).Select(Filter{Job: hold})
 	must.Len(t, 1, events)
--- a/core/recorder/parsedanswer.go
+++ b/core/recorder/parsedanswer.go
@@ -6,11 +6,11 @@
 	"oleandertally/core/specifier"
 )
 
-// ParsedAnswer is the content of the Detail of a JobAnswered event.
+// ParsedAnswer is the parsed Detail of a JobAnswered event.
 type ParsedAnswer struct {
 	Outcome specifier.Outcome
 	Reason  specifier.Reason // empty when Complete
-	Detail  string           // for people
+	Detail  string           // free text for operators
 }
 
 // FormatAnswer returns the Detail of a JobAnswered event: outcome, reason and the answer's detail.
@@ -25,7 +25,7 @@
 	return text
 }
 
-// ParseAnswer reads what FormatAnswer wrote.
+// ParseAnswer parses a text that FormatAnswer returned.
 func ParseAnswer(detail string) ParsedAnswer {
 	head, note, _ := strings.Cut(detail, ": ")
 	outcome, reason, _ := strings.Cut(head, " ")
--- a/core/recorder/parsedanswer_test.go
+++ b/core/recorder/parsedanswer_test.go
@@ -14,7 +14,7 @@
 	must.Eq(t, want, ParseAnswer(FormatAnswer(answer)))
 }
 
-// Guards against a writer and a reader of the answer's detail that disagree.
+// Guards against a ParseAnswer that does not read the format that FormatAnswer writes.
 func TestAnswerDetailRoundTrip(t *testing.T) {
 	t.Run("complete", func(t *testing.T) { assertAnswered(t, specifier.Answer{Outcome: specifier.Complete}) })
 	t.Run("reason", func(t *testing.T) { assertAnswered(t, specifier.Refuse(specifier.NoWorker, "")) })
--- a/core/recorder/process.go
+++ b/core/recorder/process.go
@@ -8,8 +8,8 @@
 	return name
 }
 
-// RefersTo reports whether peer, from Event.Other, names process. A peer without an incarnation
-// names every run of its process.
+// RefersTo reports whether peer, a value of Event.Other, refers to process. A peer without an incarnation refers to every
+// incarnation of that process.
 func RefersTo(peer, process string) bool {
 	return peer == process || peer == ProcessName(process)
 }
