--- a/core/exporter/cause.go
+++ b/core/exporter/cause.go
@@ -1,6 +1,6 @@
 package exporter
 
-// Cause says why an agent refused a task, with the values of the agent's own type.
+// Cause is why an agent refused a task. It has the same values as the agent's own Cause type.
 type Cause string
 
 var causes = []Cause{"Withdrawn", "Superseded", "Late", "NoUpstream", "NoLease", "Draining", "Full"}
--- a/core/exporter/class.go
+++ b/core/exporter/class.go
@@ -1,9 +1,9 @@
 package exporter
 
-// Class is a class of work by its run time, as the scheduler learned it.
+// Class is a class of tasks by run time, as the scheduler estimates it.
 type Class string
 
-// The classes.
+// The classes, by increasing run time.
 const (
 	Short  Class = "Short"
 	Medium Class = "Medium"
--- a/core/exporter/controller.go
+++ b/core/exporter/controller.go
@@ -8,7 +8,7 @@
 	"oleandertally/core/specifier"
 )
 
-// Controller holds the metrics of a controller. It is safe for concurrent use.
+// Controller contains the metrics of a controller. It is safe for concurrent use.
 type Controller struct {
 	*Member
 	leading     prometheus.Gauge
@@ -23,7 +23,7 @@
 	members     *prometheus.GaugeVec
 }
 
-// NewController returns the metrics of a controller on a registry of their own.
+// NewController returns the metrics of a controller on a new registry.
 func NewController() *Controller {
 	const role = "controller"
 	c := &Controller{
@@ -33,10 +33,10 @@
 		commit:      gauge(role, "commit_index", "Index of the newest committed log entry."),
 		applied:     gauge(role, "applied_index", "Index of the newest applied log entry."),
 		elections:   counter(role, "elections_total", "Elections that this controller started."),
-		sync:        histogram(role, "sync_seconds", "Time of a synced write of the log.", syncSeconds),
-		batch:       histogram(role, "batch_commands", "Commands that shared one log entry.", commands),
+		sync:        histogram(role, "sync_seconds", "Time of a synced write of the log.", syncBuckets),
+		batch:       histogram(role, "batch_commands", "Commands that shared one log entry.", batchBuckets),
 		decisions:   counters(role, "decisions_total", "Decisions on commands, by verdict.", "verdict"),
-		submissions: gauge(role, "submissions", "Submissions that are remembered."),
+		submissions: gauge(role, "submissions", "Submissions that the controller stores."),
 		members:     gauges(role, "members", "Members, by role and state.", "role", "state"),
 	}
 	c.registry.MustRegister(c.leading, c.term, c.commit, c.applied, c.elections, c.sync, c.batch, c.decisions,
@@ -61,7 +61,7 @@
 	}
 }
 
-// SetIndexes reports the commit index and the index that is applied.
+// SetIndexes reports the commit index and the applied index.
 func (c *Controller) SetIndexes(commit, applied uint64) {
 	c.commit.Set(float64(commit))
 	c.applied.Set(float64(applied))
@@ -70,21 +70,21 @@
 // Elected counts an election that this controller started.
 func (c *Controller) Elected() { c.elections.Inc() }
 
-// Synced counts one synced write of the log.
+// Synced records the duration of one synced write of the log.
 func (c *Controller) Synced(took time.Duration) { c.sync.Observe(took.Seconds()) }
 
-// Batched counts the commands of one log entry.
+// Batched records the number of commands in one log entry.
 func (c *Controller) Batched(commands int) { c.batch.Observe(float64(commands)) }
 
 // Decided counts a decision.
 func (c *Controller) Decided(verdict specifier.Verdict) {
-	c.decisions.WithLabelValues(bounded(verdicts, verdict)).Inc()
+	c.decisions.WithLabelValues(knownOrOther(verdicts, verdict)).Inc()
 }
 
-// SetSubmissions reports how many submissions are remembered.
+// SetSubmissions reports how many submissions the controller stores.
 func (c *Controller) SetSubmissions(count int) { c.submissions.Set(float64(count)) }
 
 // SetMembers reports how many members of role are in state.
 func (c *Controller) SetMembers(role specifier.Role, state specifier.MemberState, count int) {
-	c.members.WithLabelValues(bounded(roles, role), bounded(states, state)).Set(float64(count))
+	c.members.WithLabelValues(knownOrOther(roles, role), knownOrOther(states, state)).Set(float64(count))
 }
--- a/core/exporter/direction.go
+++ b/core/exporter/direction.go
@@ -1,6 +1,6 @@
 package exporter
 
-// Direction says which way control bytes go.
+// Direction is the direction of control bytes, as seen from this process.
 type Direction string
 
 // The directions.
--- a/core/exporter/doc.go
+++ b/core/exporter/doc.go
@@ -1,4 +1,3 @@
-// Package exporter counts and times what each role does, for Prometheus. Every role has a
-// registry of its own. Label values come from fixed lists, so that no caller can add a time
-// series; docs/metrics.md lists every metric.
+// Package exporter exports the metrics of each role to Prometheus. Every role has its own registry. Label values come from
+// fixed lists, so that values that callers choose cannot create time series. docs/metrics.md lists every metric.
 package exporter
--- a/core/exporter/entry.go
+++ b/core/exporter/entry.go
@@ -8,82 +8,82 @@
 	"oleandertally/core/specifier"
 )
 
-// Entry holds the metrics of an entry. It is safe for concurrent use.
+// Entry contains the metrics of an entry. It is safe for concurrent use.
 type Entry struct {
 	*Member
-	requests    *prometheus.CounterVec
-	inTime      prometheus.Counter
-	overIdeal   *prometheus.HistogramVec
-	queue       *prometheus.GaugeVec
-	wait        *prometheus.HistogramVec
-	assignments prometheus.Counter
-	returned    prometheus.Counter
-	retries     prometheus.Counter
-	ejections   prometheus.Counter
-	record      prometheus.Histogram
+	requests      *prometheus.CounterVec
+	inTime        prometheus.Counter
+	responseRatio *prometheus.HistogramVec
+	queue         *prometheus.GaugeVec
+	wait          *prometheus.HistogramVec
+	assignments   prometheus.Counter
+	refused       prometheus.Counter
+	retries       prometheus.Counter
+	ejections     prometheus.Counter
+	record        prometheus.Histogram
 }
 
-// NewEntry returns the metrics of an entry on a registry of their own.
+// NewEntry returns the metrics of an entry on a new registry.
 func NewEntry() *Entry {
 	const role = "entry"
 	e := &Entry{
-		Member:      newMember(),
-		requests:    counters(role, "requests_total", "Answers to callers, by outcome and reason.", "outcome", "reason"),
-		inTime:      counter(role, "in_time_total", "Complete answers that went out before their deadline."),
-		overIdeal:   histograms(role, "response_over_ideal_ratio", "Response time of Complete answers over the ideal, by class of the job's longest task.", overIdeal, "class"),
-		queue:       gauges(role, "queue_tasks", "Tasks that wait at this entry, by class.", "class"),
-		wait:        histograms(role, "queue_wait_seconds", "Time that a task waited at this entry before assignment, by class.", seconds, "class"),
-		assignments: counter(role, "assignments_total", "Tasks sent to agents, repeats included."),
-		returned:    counter(role, "refused_assignments_total", "Assignments that an agent refused without a start."),
-		retries:     counter(role, "retries_total", "Tasks sent again after a refusal or a recorded loss."),
-		ejections:   counter(role, "ejections_total", "Times that a worker was taken out because its tasks failed."),
-		record:      histogram(role, "record_seconds", "Time from the proposal of a job to the decision of the controllers.", seconds),
+		Member:        newMember(),
+		requests:      counters(role, "requests_total", "Answers to callers, by outcome and reason.", "outcome", "reason"),
+		inTime:        counter(role, "in_time_total", "Complete answers that went out before their deadline."),
+		responseRatio: histograms(role, "response_over_ideal_ratio", "Response time of Complete answers over the ideal, by class of the job's longest task.", responseRatioBuckets, "class"),
+		queue:         gauges(role, "queue_tasks", "Tasks that wait at this entry, by class.", "class"),
+		wait:          histograms(role, "queue_wait_seconds", "Time that a task waited at this entry before assignment, by class.", durationBuckets, "class"),
+		assignments:   counter(role, "assignments_total", "Tasks sent to agents, repeats included."),
+		refused:       counter(role, "refused_assignments_total", "Assignments that an agent refused without a start."),
+		retries:       counter(role, "retries_total", "Tasks sent again after a refusal or a recorded loss."),
+		ejections:     counter(role, "ejections_total", "Times that a worker was ejected because its tasks failed."),
+		record:        histogram(role, "record_seconds", "Time from the proposal of a job to the decision of the controllers.", durationBuckets),
 	}
-	e.registry.MustRegister(e.requests, e.inTime, e.overIdeal, e.queue, e.wait, e.assignments, e.returned, e.retries,
+	e.registry.MustRegister(e.requests, e.inTime, e.responseRatio, e.queue, e.wait, e.assignments, e.refused, e.retries,
 		e.ejections, e.record)
 	for _, class := range classes {
 		e.queue.WithLabelValues(string(class))
 		e.wait.WithLabelValues(string(class))
-		e.overIdeal.WithLabelValues(string(class))
+		e.responseRatio.WithLabelValues(string(class))
 	}
 	return e
 }
 
 // Answered counts an answer to a caller.
 func (e *Entry) Answered(outcome specifier.Outcome, reason specifier.Reason) {
-	e.requests.WithLabelValues(bounded(outcomes, outcome), bounded(reasons, reason)).Inc()
+	e.requests.WithLabelValues(knownOrOther(outcomes, outcome), knownOrOther(reasons, reason)).Inc()
 }
 
-// Completed counts a Complete answer's time: took since the submission, and the ideal time of
-// its tasks without any waiting. left is the time left to the deadline.
+// Completed records the response time of a Complete answer. took is the time since the submission, ideal is the time of
+// its tasks without any waiting, and left is the time that remains until the deadline.
 func (e *Entry) Completed(class Class, took, ideal, left time.Duration) {
 	if left >= 0 {
 		e.inTime.Inc()
 	}
 	if ideal > 0 {
-		e.overIdeal.WithLabelValues(bounded(classes, class)).Observe(took.Seconds() / ideal.Seconds())
+		e.responseRatio.WithLabelValues(knownOrOther(classes, class)).Observe(took.Seconds() / ideal.Seconds())
 	}
 }
 
-// SetQueued reports how many tasks of class wait here.
+// SetQueued reports how many tasks of class wait at this entry.
 func (e *Entry) SetQueued(class Class, tasks int) {
-	e.queue.WithLabelValues(bounded(classes, class)).Set(float64(tasks))
+	e.queue.WithLabelValues(knownOrOther(classes, class)).Set(float64(tasks))
 }
 
-// Assigned counts a task that was sent to an agent after it waited here.
+// Assigned counts a task that was sent to an agent after it waited at this entry.
 func (e *Entry) Assigned(class Class, waited time.Duration) {
 	e.assignments.Inc()
-	e.wait.WithLabelValues(bounded(classes, class)).Observe(waited.Seconds())
+	e.wait.WithLabelValues(knownOrOther(classes, class)).Observe(waited.Seconds())
 }
 
 // Refused counts an assignment that an agent refused.
-func (e *Entry) Refused() { e.returned.Inc() }
+func (e *Entry) Refused() { e.refused.Inc() }
 
 // Retried counts a task that is sent again.
 func (e *Entry) Retried() { e.retries.Inc() }
 
-// Ejected counts a worker that was taken out.
+// Ejected counts the ejection of a worker.
 func (e *Entry) Ejected() { e.ejections.Inc() }
 
-// Recorded counts the time that a proposal of a job took.
+// Recorded records the time from the proposal of a job to its decision.
 func (e *Entry) Recorded(took time.Duration) { e.record.Observe(took.Seconds()) }
--- a/core/exporter/label.go
+++ b/core/exporter/label.go
@@ -2,19 +2,19 @@
 
 import "slices"
 
-// other stands for every value outside a label's list.
-const other = "Other"
+// otherValue is the label value for every value outside the label's list.
+const otherValue = "Other"
 
-// none stands for the empty value, such as the reason of a Complete answer.
-const none = "None"
+// emptyValue is the label value for an empty value, such as the reason of a Complete answer.
+const emptyValue = "None"
 
-// bounded returns value when it is in known, and Other for anything else.
-func bounded[T ~string](known []T, value T) string {
+// knownOrOther returns value when it is in known, emptyValue when it is empty, and otherValue for any other value.
+func knownOrOther[T ~string](known []T, value T) string {
 	if value == "" {
-		return none
+		return emptyValue
 	}
 	if slices.Contains(known, value) {
 		return string(value)
 	}
-	return other
+	return otherValue
 }
--- a/core/exporter/member.go
+++ b/core/exporter/member.go
@@ -13,7 +13,7 @@
 
 const namespace = "oleandertally"
 
-// Member holds the metrics that every role has, and the registry of one role.
+// Member contains the metrics that every role has, and the registry of one role.
 type Member struct {
 	registry    *prometheus.Registry
 	revision    prometheus.Gauge
@@ -48,11 +48,11 @@
 // SetRevision reports the revision in force.
 func (m *Member) SetRevision(revision specifier.Revision) { m.revision.Set(float64(revision)) }
 
-// SetLeaseMargin reports how much of the lease was left when it was renewed; negative when it
-// had ended.
+// SetLeaseMargin reports the time that was left on the lease when it was renewed. It is negative when the lease had
+// expired.
 func (m *Member) SetLeaseMargin(left time.Duration) { m.leaseMargin.Set(left.Seconds()) }
 
-// AddControlBytes counts the bytes of control messages.
+// AddControlBytes counts the bytes of control messages. A negative count is ignored.
 func (m *Member) AddControlBytes(direction Direction, count int) {
-	m.bytes.WithLabelValues(bounded(directions, direction)).Add(float64(max(count, 0)))
+	m.bytes.WithLabelValues(knownOrOther(directions, direction)).Add(float64(max(count, 0)))
 }
--- a/core/exporter/page_test.go
+++ b/core/exporter/page_test.go
@@ -30,6 +30,7 @@
 
 var fqName = regexp.MustCompile(`fqName: "([^"]+)"`)
 
+// registered returns the names of all registered metrics.
 func registered() []string {
 	var names []string
 	for _, registry := range registries() {
@@ -58,7 +59,7 @@
 	return found
 }
 
-// Guards against a metric that no page explains, and a page that names one that does not exist.
+// Guards against a metric that docs/metrics.md does not explain, and a row of the page for a metric that does not exist.
 func TestPageListsEveryMetric(t *testing.T) {
 	var listed []string
 	for _, row := range rows(t) {
@@ -72,16 +73,16 @@
 	must.Eq(t, registered(), listed)
 }
 
-// Guards against a unit or kind on the page that is not the metric's.
+// Guards against a kind or unit in docs/metrics.md that differs from the metric.
 func TestPageStatesKindAndUnit(t *testing.T) {
 	kinds := make(map[string]string)
-	touched := NewEntry()
-	touched.Answered(specifier.Complete, "")
+	entry := NewEntry()
+	entry.Answered(specifier.Complete, "")
 	queues := NewQueues(noneDropped)
 	queues.Event("JobArrived")
 	queues.Request("GET", 200, time.Second)
 	queues.Job("Completed", time.Second)
-	for _, registry := range []*prometheus.Registry{touched.Registry(), NewAgent().Registry(), NewController().Registry(), queues.Registry()} {
+	for _, registry := range []*prometheus.Registry{entry.Registry(), NewAgent().Registry(), NewController().Registry(), queues.Registry()} {
 		families, err := registry.Gather()
 		must.NoError(t, err)
 		for _, family := range families {
@@ -101,7 +102,7 @@
 	}
 }
 
-// Guards against names that break Prometheus's conventions.
+// Guards against metric names that violate the conventions of Prometheus.
 func TestNamesFollowConventions(t *testing.T) {
 	for role, registry := range registries() {
 		t.Run(role, func(t *testing.T) {
@@ -114,7 +115,7 @@
 	}
 }
 
-// constants returns the values of the text constants in a file.
+// constants returns the values of the string constants in a file.
 func constants(t *testing.T, file string) []string {
 	t.Helper()
 	parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, 0)
@@ -131,15 +132,16 @@
 	return values
 }
 
+// assertListed checks that known contains exactly the constants in file.
 func assertListed[T ~string](t *testing.T, file string, known []T) {
 	t.Helper()
 	for _, value := range constants(t, file) {
-		must.Eq(t, value, bounded(known, T(value)))
+		must.Eq(t, value, knownOrOther(known, T(value)))
 	}
 	must.Eq(t, len(known), len(constants(t, file)))
 }
 
-// Guards against a new value of a domain type that is counted as Other.
+// Guards against a new value of a domain type that is missing from its list here, and is therefore counted as Other.
 func TestLabelListsAreWhole(t *testing.T) {
 	t.Run("outcomes", func(t *testing.T) { assertListed(t, "../specifier/outcome.go", outcomes) })
 	t.Run("reasons", func(t *testing.T) { assertListed(t, "../specifier/reason.go", reasons) })
@@ -169,7 +171,7 @@
 	t.Fatalf("no metric %s %v", name, labels)
 }
 
-// Guards against values that callers choose becoming time series, and counts in the wrong place.
+// Guards against values outside the lists that create time series, and against counts in the wrong metric.
 func TestValues(t *testing.T) {
 	t.Run("unknown label values share one series", func(t *testing.T) {
 		agent := NewAgent()
--- a/core/exporter/queues.go
+++ b/core/exporter/queues.go
@@ -10,7 +10,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Queues holds the metrics of a process that serves queues. It is safe for concurrent use.
+// Queues contains the metrics of a process that serves queues. It is safe for concurrent use.
 type Queues struct {
 	registry *prometheus.Registry
 	events   *prometheus.CounterVec
@@ -18,17 +18,17 @@
 	jobs     *prometheus.HistogramVec
 }
 
-// NewQueues returns the metrics on a registry of their own. dropped returns how many log lines were dropped.
+// NewQueues returns the metrics on a new registry. dropped returns how many log lines were dropped.
 func NewQueues(dropped func() int64) *Queues {
 	const subsystem = "queues"
 	q := &Queues{
 		registry: prometheus.NewRegistry(),
 		events:   counters(subsystem, "events_total", "Decisions and changes, by the event of their log line.", "event"),
-		requests: histograms(subsystem, "request_seconds", "Time from a request to its answer, by method and status.", seconds, "method", "status"),
-		jobs:     histograms(subsystem, "job_seconds", "Time from the arrival of a job to its end, by outcome.", seconds, "outcome"),
+		requests: histograms(subsystem, "request_seconds", "Time from a request to its answer, by method and status.", durationBuckets, "method", "status"),
+		jobs:     histograms(subsystem, "job_seconds", "Time from the arrival of a job to its end, by outcome.", durationBuckets, "outcome"),
 	}
 	lines := prometheus.NewCounterFunc(prometheus.CounterOpts{Namespace: namespace, Subsystem: subsystem, Name: "log_lines_dropped_total",
-		Help: "Log lines that nobody read in time."}, func() float64 { return float64(dropped()) })
+		Help: "Log lines that were dropped because their reader was too slow."}, func() float64 { return float64(dropped()) })
 	q.registry.MustRegister(q.events, q.requests, q.jobs, lines)
 	q.registry.MustRegister(collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return q
@@ -42,21 +42,21 @@
 	return promhttp.HandlerFor(q.registry, promhttp.HandlerOpts{})
 }
 
-// Event counts one log line. The names are constants of the code.
+// Event counts one log line. name must be a constant, because each name creates a time series.
 func (q *Queues) Event(name string) { q.events.WithLabelValues(name).Inc() }
 
-// methods are those that a request is counted by.
+// methods are the label values for request methods.
 var methods = []string{http.MethodGet, http.MethodPost, http.MethodPut, http.MethodDelete}
 
 // Request counts one answered request.
 func (q *Queues) Request(method string, status int, took time.Duration) {
-	q.requests.WithLabelValues(bounded(methods, method), strconv.Itoa(status)).Observe(took.Seconds())
+	q.requests.WithLabelValues(knownOrOther(methods, method), strconv.Itoa(status)).Observe(took.Seconds())
 }
 
-// queueOutcomes are those of jobs; any other is a refusal.
+// queueOutcomes are the label values for outcomes of jobs. Any other outcome is a refusal.
 var queueOutcomes = []string{"Completed", "Failed", "Cancelled"}
 
 // Job counts one job that ended.
 func (q *Queues) Job(outcome string, took time.Duration) {
-	q.jobs.WithLabelValues(bounded(queueOutcomes, outcome)).Observe(took.Seconds())
+	q.jobs.WithLabelValues(knownOrOther(queueOutcomes, outcome)).Observe(took.Seconds())
 }
--- a/core/exporter/statshandler.go
+++ b/core/exporter/statshandler.go
@@ -20,7 +20,7 @@
 // HandleConn does nothing.
 func (h *StatsHandler) HandleConn(context.Context, stats.ConnStats) {}
 
-// HandleRPC counts the payloads, with their frames.
+// HandleRPC counts the payloads, including their frame headers.
 func (h *StatsHandler) HandleRPC(_ context.Context, event stats.RPCStats) {
 	switch event := event.(type) {
 	case *stats.InPayload:
--- a/core/exporter/values.go
+++ b/core/exporter/values.go
@@ -2,7 +2,7 @@
 
 import "oleandertally/core/specifier"
 
-// The lists of label values.
+// The values that each label can have, besides otherValue and emptyValue.
 var (
 	outcomes = []specifier.Outcome{specifier.Complete, specifier.Failed, specifier.NotRun}
 	reasons  = []specifier.Reason{
