--- a/core/operator/call.go
+++ b/core/operator/call.go
@@ -10,15 +10,15 @@
 	"google.golang.org/grpc/status"
 )
 
-// maxReply bounds one reply, in bytes: the events of one process at most.
-const maxReply = 64 << 20
+// maxReplyBytes limits the size of one reply. The largest reply contains all events of one process.
+const maxReplyBytes = 64 << 20
 
-// call dials addr for one call, limited to AttemptTimeout.
+// call connects to addr for one call, which is limited to AttemptTimeout.
 func call[T any](ctx context.Context, c *Client, addr netip.AddrPort, do func(context.Context, *grpc.ClientConn) (T, error)) (T, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.AttemptTimeout)
 	defer cancel()
 	options := []grpc.DialOption{grpc.WithNoProxy(), grpc.WithTransportCredentials(c.credentialsFor(addr)),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxReply))}
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxReplyBytes))}
 	if c.PerRPC != nil {
 		options = append(options, grpc.WithPerRPCCredentials(c.PerRPC))
 	}
@@ -31,8 +31,8 @@
 	return do(ctx, conn)
 }
 
-// isTransport reports whether another controller may answer.
-func isTransport(err error) bool {
+// isRetryable reports whether the call may succeed at another controller.
+func isRetryable(err error) bool {
 	switch status.Code(err) {
 	case codes.Unavailable, codes.DeadlineExceeded, codes.Canceled, codes.Aborted, codes.ResourceExhausted:
 		return true
@@ -40,23 +40,23 @@
 	return false
 }
 
-// translate turns a controller's refusal into this package's errors.
-func translate(err error) error {
+// translateError converts a controller's refusal into an error for the operator.
+func translateError(err error) error {
 	switch status.Code(err) {
 	case codes.NotFound:
 		return ErrRevisionUnavailable
 	case codes.Unimplemented:
-		return errors.Newf("the process has no Operator service, so it is not a controller: %s", plain(err))
+		return errors.Newf("the process has no Operator service, so it is not a controller: %s", plainMessage(err))
 	case codes.Unauthenticated, codes.PermissionDenied:
-		return errors.Newf("the controller does not admit the request: %s", plain(err))
+		return errors.Newf("the controller does not admit the request: %s", plainMessage(err))
 	case codes.InvalidArgument:
-		return errors.Newf("the controller refuses the request: %s", plain(err))
+		return errors.Newf("the controller refuses the request: %s", plainMessage(err))
 	}
 	return err
 }
 
-// plain returns the message without gRPC's prefix.
-func plain(err error) string {
+// plainMessage returns the message of err without gRPC's prefix.
+func plainMessage(err error) string {
 	if s, ok := status.FromError(err); ok {
 		return s.Message()
 	}
--- a/core/operator/client.go
+++ b/core/operator/client.go
@@ -15,24 +15,24 @@
 	"oleandertally/core/specifier"
 )
 
-// Client calls the controllers until the leader answers. Fields are set before use.
+// Client calls the controllers until the leader answers. Its exported fields are set before use.
 type Client struct {
 	Controllers []netip.AddrPort
 	Credentials credentials.TransportCredentials
-	// RoleCredentials returns the credentials for a process of another role than Controller, which has
-	// another certificate; nil when Credentials serve for all.
+	// RoleCredentials returns the credentials for processes of a role other than Controller, which have other
+	// certificates. When nil, Credentials are used for all roles.
 	RoleCredentials func(specifier.Role) credentials.TransportCredentials
-	PerRPC          credentials.PerRPCCredentials                    // sent with each call; nil when there is none
-	AttemptTimeout  time.Duration                                    // limit of one call
-	MaxRounds       int                                              // times that every controller is tried
-	RoundInterval   time.Duration                                    // from one round to the next: an election can be under way
+	PerRPC          credentials.PerRPCCredentials                    // sent with each call, unless nil
+	AttemptTimeout  time.Duration                                    // time limit of one call
+	MaxRounds       int                                              // how many times every controller is tried
+	RoundInterval   time.Duration                                    // wait between two rounds, in which an election can complete
 	Pause           func(ctx context.Context, d time.Duration) error // waits, or returns the context's error
 	Clock           func() time.Time
 
-	roles map[netip.AddrPort]specifier.Role // of addresses that are not controllers'
+	roles map[netip.AddrPort]specifier.Role // by the address of each member
 }
 
-// SetMembers tells the client the roles of the members' addresses. It must not run during a call.
+// SetMembers sets the role of each member's address. It must not run during a call.
 func (c *Client) SetMembers(members []specifier.Member) {
 	c.roles = make(map[netip.AddrPort]specifier.Role, len(members))
 	for _, member := range members {
@@ -48,10 +48,10 @@
 	return c.Credentials
 }
 
-// Read returns the state with the configuration at revision; 0 is the one in force. It returns
-// ErrRevisionUnavailable when the leader does not hold the revision.
+// Read returns the state with the configuration at revision, or with the one in force when revision is 0. It returns
+// ErrRevisionUnavailable when the leader does not store the revision.
 func (c *Client) Read(ctx context.Context, revision specifier.Revision) (State, error) {
-	return follow(ctx, c, func(ctx context.Context, conn *grpc.ClientConn) (State, error) {
+	return callLeader(ctx, c, func(ctx context.Context, conn *grpc.ClientConn) (State, error) {
 		reply, err := encoder.NewOperatorClient(conn).Read(ctx, &encoder.ReadRequest{Revision: uint64(revision)})
 		if err != nil {
 			return State{}, err
@@ -63,11 +63,11 @@
 	})
 }
 
-// Change proposes command, a ChangeConfiguration or a DrainMember, and returns the decision. Its
-// effect is the same when it arrives more than once, so it is sent again after a lost answer.
+// Change proposes command, a ChangeConfiguration or a DrainMember, and returns the decision. The command is idempotent,
+// so it is sent again when the answer is lost.
 func (c *Client) Change(ctx context.Context, request, operator string, command specifier.Command) (specifier.Decision, error) {
 	message := &encoder.ChangeRequest{RequestId: request, Operator: operator, Command: encoder.EncodeCommand(command)}
-	return follow(ctx, c, func(ctx context.Context, conn *grpc.ClientConn) (specifier.Decision, error) {
+	return callLeader(ctx, c, func(ctx context.Context, conn *grpc.ClientConn) (specifier.Decision, error) {
 		reply, err := encoder.NewOperatorClient(conn).Change(ctx, message)
 		if err != nil {
 			return specifier.Decision{}, err
@@ -80,24 +80,24 @@
 	})
 }
 
-// Gather returns the events of the process at addr that filter selects, without its span.
+// Gather fetches the events of the process at addr that filter selects. The span of filter is not applied.
 func (c *Client) Gather(ctx context.Context, addr netip.AddrPort, filter recorder.Filter) (merger.Log, error) {
 	request := &encoder.EventsRequest{Worker: filter.Worker}
 	if filter.Job != (specifier.JobID{}) {
 		request.Job = filter.Job[:]
 	}
 	return call(ctx, c, addr, func(ctx context.Context, conn *grpc.ClientConn) (merger.Log, error) {
-		asked := c.Clock()
+		requestedAt := c.Clock()
 		reply, err := encoder.NewTimelineClient(conn).Gather(ctx, request)
 		if err != nil {
 			return merger.Log{}, err
 		}
-		return decodeLog(reply, asked, c.Clock())
+		return decodeLog(reply, requestedAt, c.Clock())
 	})
 }
 
-func decodeLog(reply *encoder.EventList, asked, answered time.Time) (merger.Log, error) {
-	log := merger.Log{RequestedAt: asked, RepliedAt: answered, ProcessTime: time.Unix(0, reply.GetNow()), Dropped: int(reply.GetDropped())}
+func decodeLog(reply *encoder.EventList, requestedAt, repliedAt time.Time) (merger.Log, error) {
+	log := merger.Log{RequestedAt: requestedAt, RepliedAt: repliedAt, ProcessTime: time.Unix(0, reply.GetNow()), Dropped: int(reply.GetDropped())}
 	if len(reply.GetItems()) > maxEvents {
 		return log, errors.Newf("Items: has %d events, expected at most %d", len(reply.GetItems()), maxEvents)
 	}
--- a/core/operator/controllerstatus.go
+++ b/core/operator/controllerstatus.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// ControllerStatus is one controller as the leader sees it.
+// ControllerStatus is the state of one controller as the leader knows it.
 type ControllerStatus struct {
 	Name         string
 	Addr         netip.AddrPort
 	Zone         string
 	Leading      bool
-	Learner      bool // gets the log, but has no vote
+	Learner      bool // replicates the log, but has no vote
 	Term         uint64
 	CommitIndex  uint64
 	AppliedIndex uint64
-	SyncedIndex  uint64        // last entry known to be durable there
-	SinceHeard   time.Duration // since the leader heard from it; 0 for the leader
+	SyncedIndex  uint64        // index of the last log entry that is known to be durable at the controller
+	SinceHeard   time.Duration // time since the last message from the controller; 0 for the leader
 }
--- a/core/operator/doc.go
+++ b/core/operator/doc.go
@@ -1,3 +1,3 @@
-// Package operator is what operators and the controllers share: the state that operators read,
-// the server side of the Operator and Timeline services, and a client that finds the leader.
+// Package operator contains the state that operators read, the server side of the Operator and Timeline services, and a
+// client that finds the leader.
 package operator
--- a/core/operator/errors.go
+++ b/core/operator/errors.go
@@ -2,5 +2,6 @@
 
 import "github.com/cockroachdb/errors"
 
-// ErrRevisionUnavailable means that the configuration at the revision asked for is not held.
+// ErrRevisionUnavailable means that the controllers do not store the configuration at the requested revision: it is
+// unknown or has been evicted.
 var ErrRevisionUnavailable = errors.New("the configuration at this revision is not held")
--- a/core/operator/events.go
+++ b/core/operator/events.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// maxEvents bounds the events of one process in a reply.
+	// maxEvents limits the events of one process in a reply.
 	maxEvents = 1 << 18
-	// maxDetail bounds the texts of one event, in bytes.
-	maxDetail = 4 << 10
+	// maxTextBytes limits the length of each text of an event.
+	maxTextBytes = 4 << 10
 )
 
-// EncodeEvent copies every field.
+// EncodeEvent encodes every field of e.
 func EncodeEvent(e recorder.Event) *encoder.Event {
 	m := &encoder.Event{At: e.At.UnixNano(), Process: e.Process, Sequence: e.Sequence, Kind: string(e.Kind),
 		Task: e.Task, Epoch: uint64(e.Epoch), Other: e.Other, Detail: e.Detail}
@@ -25,22 +25,22 @@
 	return m
 }
 
-// DecodeEvent returns every problem of the event's fields together.
+// DecodeEvent decodes and checks m. Its error lists the problems of all fields.
 func DecodeEvent(m *encoder.Event) (recorder.Event, error) {
 	found := &specifier.Problems{}
 	event := recorder.Event{At: time.Unix(0, m.GetAt()), Process: m.GetProcess(), Sequence: m.GetSequence(),
 		Kind: recorder.Kind(m.GetKind()), Task: m.GetTask(), Epoch: specifier.Epoch(m.GetEpoch()),
 		Other: m.GetOther(), Detail: m.GetDetail()}
-	short := func(field, text string) {
-		if len(text) > maxDetail {
-			found.Add(field, "has %d bytes, expected at most %d", len(text), maxDetail)
+	checkLength := func(field, text string) {
+		if len(text) > maxTextBytes {
+			found.Add(field, "has %d bytes, expected at most %d", len(text), maxTextBytes)
 		}
 	}
-	short("Process", event.Process)
-	short("Kind", string(event.Kind))
-	short("Task", event.Task)
-	short("Other", event.Other)
-	short("Detail", event.Detail)
+	checkLength("Process", event.Process)
+	checkLength("Kind", string(event.Kind))
+	checkLength("Task", event.Task)
+	checkLength("Other", event.Other)
+	checkLength("Detail", event.Detail)
 	if event.Process == "" || event.Kind == "" {
 		found.Add("Event", "has no Process or Kind")
 	}
@@ -51,7 +51,7 @@
 	return event, nil
 }
 
-// decodeJob accepts no bytes as the zero id.
+// decodeJob decodes a job id. No bytes stand for the zero id.
 func decodeJob(found *specifier.Problems, raw []byte) specifier.JobID {
 	var job specifier.JobID
 	if len(raw) != 0 && len(raw) != len(job) {
--- a/core/operator/history.go
+++ b/core/operator/history.go
@@ -5,18 +5,18 @@
 	"oleandertally/core/specifier"
 )
 
-// History keeps the newest configurations, for comparing with and reverting to an earlier
-// revision. Cap is set before use; one goroutine uses it.
+// History stores the newest configurations, so that operators can compare with an earlier revision or revert to it. Cap
+// is set before use. History is not safe for concurrent use.
 type History struct {
-	Cap  int // revisions kept
+	Cap  int // maximum number of revisions
 	ring container.Ring[specifier.Configuration]
 }
 
-// Add keeps configuration, which must not change afterwards. One that is not newer than the
-// newest is ignored.
+// Add stores configuration, which must not change afterwards. It ignores a configuration that is not newer than the
+// newest stored one.
 func (h *History) Add(configuration specifier.Configuration) {
-	kept := h.ring.All()
-	if len(kept) > 0 && kept[len(kept)-1].Revision >= configuration.Revision {
+	stored := h.ring.All()
+	if len(stored) > 0 && stored[len(stored)-1].Revision >= configuration.Revision {
 		return
 	}
 	h.ring.Cap = h.Cap
--- a/core/operator/memberload.go
+++ b/core/operator/memberload.go
@@ -2,7 +2,7 @@
 
 import "oleandertally/core/specifier"
 
-// MemberLoad is the load of one run of a member.
+// MemberLoad is the load of one incarnation of a member.
 type MemberLoad struct {
 	Identity specifier.Identity
 	Load     specifier.Load
--- a/core/operator/messages.go
+++ b/core/operator/messages.go
@@ -9,10 +9,10 @@
 	"oleandertally/core/specifier"
 )
 
-// maxMembers bounds a reply: 940 workers and their entries are expected.
+// maxMembers limits the items of each list in a reply. 940 workers and their entries are expected.
 const maxMembers = 16384
 
-// EncodeState leaves nothing out.
+// EncodeState encodes every field of state.
 func EncodeState(state State) *encoder.ReadReply {
 	m := &encoder.ReadReply{Configuration: encoder.EncodeConfiguration(state.Configuration), Operator: state.Operator}
 	for _, member := range state.Members {
@@ -30,26 +30,26 @@
 	return m
 }
 
-// DecodeState checks every field and returns all problems together.
+// DecodeState decodes and checks m. Its error lists the problems of all fields.
 func DecodeState(m *encoder.ReadReply) (State, error) {
 	found := &specifier.Problems{}
 	state := State{Operator: m.GetOperator()}
 	configuration, err := encoder.DecodeConfiguration(m.GetConfiguration())
-	report(found, "Configuration", err)
+	addProblem(found, "Configuration", err)
 	state.Configuration = configuration
-	if limited(found, "Members", len(m.GetMembers())) {
+	if checkCount(found, "Members", len(m.GetMembers())) {
 		for i, item := range m.GetMembers() {
 			member, err := encoder.DecodeMember(item)
-			report(found, indexed("Members", i), err)
+			addProblem(found, indexed("Members", i), err)
 			state.Members = append(state.Members, member)
 		}
 	}
-	if limited(found, "Loads", len(m.GetLoads())) {
+	if checkCount(found, "Loads", len(m.GetLoads())) {
 		for i, item := range m.GetLoads() {
 			state.Loads = append(state.Loads, decodeLoad(found, indexed("Loads", i), item))
 		}
 	}
-	if limited(found, "Controllers", len(m.GetControllers())) {
+	if checkCount(found, "Controllers", len(m.GetControllers())) {
 		for i, item := range m.GetControllers() {
 			state.Controllers = append(state.Controllers, decodeController(found, indexed("Controllers", i), item))
 		}
@@ -62,7 +62,7 @@
 
 func decodeLoad(found *specifier.Problems, field string, m *encoder.MemberLoad) MemberLoad {
 	id, err := encoder.DecodeIdentity(m.GetIdentity())
-	report(found, field+".Identity", err)
+	addProblem(found, field+".Identity", err)
 	load := specifier.Load{Slots: int(m.GetLoad().GetSlots()), Running: int(m.GetLoad().GetRunning()), Queued: int(m.GetLoad().GetQueued())}
 	if min(load.Slots, load.Running, load.Queued) < 0 {
 		found.Add(field+".Load", "has a negative count")
@@ -80,7 +80,7 @@
 		SyncedIndex: m.GetSyncedIndex()}
 }
 
-// decodeAddr accepts the empty text as the zero address.
+// decodeAddr decodes an address. The empty text stands for the zero address.
 func decodeAddr(found *specifier.Problems, field, text string) netip.AddrPort {
 	if text == "" {
 		return netip.AddrPort{}
@@ -92,7 +92,8 @@
 	return addr
 }
 
-func limited(found *specifier.Problems, field string, items int) bool {
+// checkCount reports whether a list has at most maxMembers items, and adds a problem when it has more.
+func checkCount(found *specifier.Problems, field string, items int) bool {
 	if items > maxMembers {
 		found.Add(field, "has %d items, expected at most %d", items, maxMembers)
 		return false
@@ -100,12 +101,13 @@
 	return true
 }
 
-func report(found *specifier.Problems, field string, err error) {
+func addProblem(found *specifier.Problems, field string, err error) {
 	if err != nil {
 		found.Add(field, "%v", err)
 	}
 }
 
+// addressText is the inverse of decodeAddr.
 func addressText(addr netip.AddrPort) string {
 	if !addr.IsValid() {
 		return ""
--- a/core/operator/notleadererror.go
+++ b/core/operator/notleadererror.go
@@ -2,9 +2,9 @@
 
 import "net/netip"
 
-// NotLeaderError means that another controller leads.
+// NotLeaderError means that the called controller is not the leader.
 type NotLeaderError struct {
-	Leader netip.AddrPort // zero when there is none
+	Leader netip.AddrPort // zero when the controller knows no leader
 }
 
 // Error names the leader.
--- a/core/operator/operator_test.go
+++ b/core/operator/operator_test.go
@@ -18,36 +18,36 @@
 	"oleandertally/core/specifier"
 )
 
-var nine = time.Date(2026, 5, 4, 9, 0, 0, 0, time.UTC)
+var baseTime = time.Date(2026, 5, 4, 9, 0, 0, 0, time.UTC)
 
-// fake is a controller that answers as told.
-type fake struct {
+// fakeController is a controller with preset answers.
+type fakeController struct {
 	state     State
 	err       error
-	errs      []error // of the next reads, before err
+	readErrs  []error // results of the first reads; later reads return err
 	decision  specifier.Decision
 	revisions []specifier.Revision
 	commands  []specifier.Command
 	buffer    *recorder.Buffer
 }
 
-func (f *fake) read(_ context.Context, revision specifier.Revision) (State, error) {
+func (f *fakeController) read(_ context.Context, revision specifier.Revision) (State, error) {
 	f.revisions = append(f.revisions, revision)
-	if len(f.errs) > 0 {
-		err := f.errs[0]
-		f.errs = f.errs[1:]
+	if len(f.readErrs) > 0 {
+		err := f.readErrs[0]
+		f.readErrs = f.readErrs[1:]
 		return State{}, err
 	}
 	return f.state, f.err
 }
 
-func (f *fake) propose(_ context.Context, command specifier.Command) (specifier.Decision, error) {
+func (f *fakeController) propose(_ context.Context, command specifier.Command) (specifier.Decision, error) {
 	f.commands = append(f.commands, command)
 	return f.decision, f.err
 }
 
-// serve runs the fake on a loopback address until the test ends.
-func serve(t *testing.T, f *fake) netip.AddrPort {
+// serve runs f on a loopback address until the test ends.
+func serve(t *testing.T, f *fakeController) netip.AddrPort {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -61,7 +61,7 @@
 	t.Helper()
 	var group errgroup.Group
 	group.Go(func() error {
-		// A test that ends before Serve runs has stopped the server already.
+		// When the test ends before Serve runs, Stop has already been called.
 		if err := server.Serve(listener); !errors.Is(err, grpc.ErrServerStopped) {
 			return err
 		}
@@ -74,8 +74,8 @@
 	return netip.MustParseAddrPort(listener.Addr().String())
 }
 
-// closed returns an address that refuses connections.
-func closed(t *testing.T) netip.AddrPort {
+// closedAddr returns an address that refuses connections.
+func closedAddr(t *testing.T) netip.AddrPort {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -84,11 +84,11 @@
 }
 
 func newClient(controllers ...netip.AddrPort) *Client {
-	return &Client{Controllers: controllers, Credentials: insecure.NewCredentials(), AttemptTimeout: time.Minute, MaxRounds: 3, Clock: func() time.Time { return nine },
+	return &Client{Controllers: controllers, Credentials: insecure.NewCredentials(), AttemptTimeout: time.Minute, MaxRounds: 3, Clock: func() time.Time { return baseTime },
 		Pause: func(ctx context.Context, _ time.Duration) error { return ctx.Err() }}
 }
 
-func sample() State {
+func sampleState() State {
 	return State{
 		Configuration: specifier.Configuration{Revision: 7,
 			Profiles: map[string]specifier.Profile{"holds": {Name: "holds", Service: "reservas", MaxTimeLeft: time.Second, LongShare: 0.5}},
@@ -106,25 +106,26 @@
 	t.Helper()
 	got, err := client.Read(t.Context(), 0)
 	must.NoError(t, err)
-	must.Eq(t, sample(), got)
+	must.Eq(t, sampleState(), got)
 }
 
-// Guards against a client that gives up although a leader can be found, or asks the wrong one.
+// Guards against a client that gives up although it can reach the leader through redirects, retries or a later round,
+// and against an endless loop of redirects.
 func TestClientFindsTheLeader(t *testing.T) {
-	t.Run("asked first", func(t *testing.T) { assertState(t, newClient(serve(t, &fake{state: sample()}))) })
+	t.Run("asked first", func(t *testing.T) { assertState(t, newClient(serve(t, &fakeController{state: sampleState()}))) })
 	t.Run("named by a follower", func(t *testing.T) {
-		leader := serve(t, &fake{state: sample()})
-		assertState(t, newClient(serve(t, &fake{err: &NotLeaderError{Leader: leader}})))
+		leader := serve(t, &fakeController{state: sampleState()})
+		assertState(t, newClient(serve(t, &fakeController{err: &NotLeaderError{Leader: leader}})))
 	})
 	t.Run("after one that is down", func(t *testing.T) {
-		assertState(t, newClient(closed(t), serve(t, &fake{state: sample()})))
+		assertState(t, newClient(closedAddr(t), serve(t, &fakeController{state: sampleState()})))
 	})
 	t.Run("after an election", func(t *testing.T) {
-		assertState(t, newClient(serve(t, &fake{state: sample(), errs: []error{&NotLeaderError{}, &NotLeaderError{}}})))
+		assertState(t, newClient(serve(t, &fakeController{state: sampleState(), readErrs: []error{&NotLeaderError{}, &NotLeaderError{}}})))
 	})
 	t.Run("followers that name each other", func(t *testing.T) {
-		first := &fake{}
-		second := serve(t, &fake{err: &NotLeaderError{Leader: closed(t)}})
+		first := &fakeController{}
+		second := serve(t, &fakeController{err: &NotLeaderError{Leader: closedAddr(t)}})
 		first.err = &NotLeaderError{Leader: second}
 		_, err := newClient(serve(t, first), second).Read(t.Context(), 0)
 		var unreachable *UnreachableError
@@ -134,16 +135,16 @@
 	})
 }
 
-// Guards against a refusal that is tried again or loses its cause.
+// Guards against a refusal that is retried, or whose cause is lost.
 func TestClientReportsRefusals(t *testing.T) {
 	t.Run("a revision that is not held", func(t *testing.T) {
-		f := &fake{err: ErrRevisionUnavailable}
+		f := &fakeController{err: ErrRevisionUnavailable}
 		_, err := newClient(serve(t, f)).Read(t.Context(), 3)
 		must.True(t, errors.Is(err, ErrRevisionUnavailable))
 		must.Eq(t, []specifier.Revision{3}, f.revisions)
 	})
 	t.Run("a command of members", func(t *testing.T) {
-		f := &fake{}
+		f := &fakeController{}
 		_, err := newClient(serve(t, f)).Change(t.Context(), "r1", "ana", specifier.EndMember{Identity: specifier.Identity{Name: "x"}})
 		must.ErrorContains(t, err, "expected ChangeConfiguration or DrainMember")
 		must.SliceEmpty(t, f.commands)
@@ -156,37 +157,37 @@
 		must.ErrorContains(t, err, "not a controller")
 	})
 	t.Run("two request ids", func(t *testing.T) {
-		f := &fake{}
+		f := &fakeController{}
 		_, err := newClient(serve(t, f)).Change(t.Context(), "r1", "ana", specifier.ChangeConfiguration{RequestID: "r2", Operator: "ana"})
 		must.ErrorContains(t, err, "RequestId")
 		must.SliceEmpty(t, f.commands)
 	})
 }
 
-// Guards against a change that is lost or altered on its way.
+// Guards against a change that is lost or altered when a follower redirects the client.
 func TestChange(t *testing.T) {
 	change := specifier.ChangeConfiguration{RequestID: "r1", Operator: "ana", From: 7, RemoveTeams: []string{"ventas"}}
 	conflict := specifier.Decision{Verdict: specifier.Conflict, Operator: "eva", Revision: 8, Detail: "made from 7"}
-	leader := &fake{decision: conflict}
-	follower := &fake{decision: specifier.Decision{Verdict: specifier.NotLeader, Leader: serve(t, leader)}}
+	leader := &fakeController{decision: conflict}
+	follower := &fakeController{decision: specifier.Decision{Verdict: specifier.NotLeader, Leader: serve(t, leader)}}
 	decision, err := newClient(serve(t, follower)).Change(t.Context(), "r1", "ana", change)
 	must.NoError(t, err)
 	must.Eq(t, conflict, decision)
 	must.Eq(t, []specifier.Command{change}, leader.commands)
 }
 
-// Guards against events that are lost or altered on their way, and a clock that is not bounded.
+// Guards against events that are lost or altered in transit, and against a log without the times that bound the skew.
 func TestGather(t *testing.T) {
-	buffer := &recorder.Buffer{Process: "entry-a/0000000000000001", Cap: 2, Clock: func() time.Time { return nine.Add(time.Hour) }}
+	buffer := &recorder.Buffer{Process: "entry-a/0000000000000001", Cap: 2, Clock: func() time.Time { return baseTime.Add(time.Hour) }}
 	hold := specifier.NewJobID("reservas", "hold-1")
 	buffer.Add(recorder.Event{Kind: recorder.JobSubmitted, Job: specifier.NewJobID("ventas", "other")})
 	buffer.Add(recorder.Event{Kind: recorder.JobSubmitted, Job: hold})
 	buffer.Add(recorder.Event{Kind: recorder.TaskAssigned, Job: hold, Task: "t", Epoch: 2, Other: "worker-a", Detail: "d"})
-	addr := serve(t, &fake{buffer: buffer})
+	addr := serve(t, &fakeController{buffer: buffer})
 	log, err := newClient().Gather(t.Context(), addr, recorder.Filter{Job: hold, Worker: "worker-a"})
 	must.NoError(t, err)
 	must.Eq(t, 1, log.Dropped)
-	must.Eq(t, nine, log.RequestedAt)
+	must.Eq(t, baseTime, log.RequestedAt)
 	must.Eq(t, time.Hour, log.ProcessTime.Sub(log.RepliedAt))
 	must.Len(t, 1, log.Events)
 	want, _ := buffer.All()
@@ -195,9 +196,9 @@
 	must.Eq(t, want[1], log.Events[0])
 }
 
-// Guards against a reply that makes the client hold or show nonsense.
+// Guards against a client that accepts a reply with invalid fields, or reports only the first of them.
 func TestDecodeStateReportsEveryProblem(t *testing.T) {
-	reply := EncodeState(sample())
+	reply := EncodeState(sampleState())
 	reply.Members[0].Zone = ""
 	reply.Loads[0].Load.Running = -1
 	reply.Controllers[0].Addr = "nowhere"
@@ -207,7 +208,7 @@
 	}
 }
 
-// Guards against a revert to a wrong revision.
+// Guards against a history that returns the configuration of another revision, so that a revert restores a wrong one.
 func TestHistory(t *testing.T) {
 	history := &History{Cap: 2}
 	for _, revision := range []specifier.Revision{1, 2, 2, 3} {
--- a/core/operator/server.go
+++ b/core/operator/server.go
@@ -11,27 +11,27 @@
 	"oleandertally/core/specifier"
 )
 
-// Server is the Operator service of a controller. Fields are set before it is registered; they
-// are called from many goroutines.
+// Server is the Operator service of a controller. Its fields are set before it is registered, and are called from many
+// goroutines.
 type Server struct {
 	encoder.UnimplementedOperatorServer
 	Propose Propose
 	State   Read
-	// Identify returns the operator whose token came with a call, or an error when it is not valid. An
-	// empty name leaves that of the request as it is. Nil admits everybody.
+	// Identify returns the operator whose token came with a call, or an error when the token is invalid. When the name is
+	// empty, the server accepts the name in the request. A nil Identify admits every call.
 	Identify func(ctx context.Context) (string, error)
 }
 
-// Read answers with the state, or with the leader's address.
+// Read returns the state, or the leader's address when this controller is not the leader.
 func (s *Server) Read(ctx context.Context, request *encoder.ReadRequest) (*encoder.ReadReply, error) {
 	if _, err := s.identify(ctx); err != nil {
 		return nil, err
 	}
 	state, err := s.State(ctx, specifier.Revision(request.GetRevision()))
-	var elsewhere *NotLeaderError
+	var notLeader *NotLeaderError
 	switch {
-	case errors.As(err, &elsewhere):
-		return &encoder.ReadReply{NotLeader: true, Leader: addressText(elsewhere.Leader)}, nil
+	case errors.As(err, &notLeader):
+		return &encoder.ReadReply{NotLeader: true, Leader: addressText(notLeader.Leader)}, nil
 	case errors.Is(err, ErrRevisionUnavailable):
 		return nil, status.Error(codes.NotFound, err.Error())
 	case err != nil:
@@ -53,7 +53,7 @@
 	if err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
-	if err := permitted(request, command); err != nil {
+	if err := checkPermitted(request, command); err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
 	decision, err := s.Propose(ctx, command)
@@ -63,8 +63,8 @@
 	return &encoder.ChangeReply{Decision: encoder.EncodeDecision(decision)}, nil
 }
 
-// permitted refuses the commands that only members may send.
-func permitted(request *encoder.ChangeRequest, command specifier.Command) error {
+// checkPermitted returns an error unless an operator may send the command and the request agrees with the command.
+func checkPermitted(request *encoder.ChangeRequest, command specifier.Command) error {
 	switch command := command.(type) {
 	case specifier.ChangeConfiguration:
 		if command.Operator != request.GetOperator() {
@@ -80,6 +80,7 @@
 	return errors.Newf("Command: is a %T, expected ChangeConfiguration or DrainMember", command)
 }
 
+// identify returns the name that Identify returns, or a gRPC error.
 func (s *Server) identify(ctx context.Context) (string, error) {
 	if s.Identify == nil {
 		return "", nil
--- a/core/operator/state.go
+++ b/core/operator/state.go
@@ -2,11 +2,11 @@
 
 import "oleandertally/core/specifier"
 
-// State is what the leading controller tells an operator.
+// State is the state of the system that the leading controller returns to an operator.
 type State struct {
-	Configuration specifier.Configuration // at the revision that was asked for
-	Operator      string                  // who made the newest change
-	Members       []specifier.Member      // by name
+	Configuration specifier.Configuration // at the requested revision
+	Operator      string                  // the operator who made the newest change
+	Members       []specifier.Member      // sorted by name
 	Loads         []MemberLoad            // of the members whose load the leader knows
 	Controllers   []ControllerStatus
 }
--- a/core/operator/timeline.go
+++ b/core/operator/timeline.go
@@ -11,13 +11,13 @@
 	"oleandertally/core/specifier"
 )
 
-// Timeline is the Timeline service of any process. Buffer is set before it is registered.
+// Timeline is the Timeline service, which every process serves. Buffer is set before the service is registered.
 type Timeline struct {
 	encoder.UnimplementedTimelineServer
 	Buffer *recorder.Buffer
 }
 
-// Gather answers with the kept events that the request selects.
+// Gather returns the stored events that the request selects.
 func (t *Timeline) Gather(_ context.Context, request *encoder.EventsRequest) (*encoder.EventList, error) {
 	found := &specifier.Problems{}
 	filter := recorder.Filter{Job: decodeJob(found, request.GetJob()), Worker: request.GetWorker()}
--- a/core/operator/unreachableerror.go
+++ b/core/operator/unreachableerror.go
@@ -2,13 +2,12 @@
 
 import "strings"
 
-// UnreachableError means that no leading controller gave an answer. A change may be applied
-// all the same.
+// UnreachableError means that no controller answered as the leader. A change may have been applied nevertheless.
 type UnreachableError struct {
-	Tried []string // controller and what it answered, in the last round
+	Tried []string // address and error of each controller in the last round
 }
 
-// Error lists what was tried.
+// Error lists the controllers that were tried and their errors.
 func (e *UnreachableError) Error() string {
 	return "no leading controller answered: " + strings.Join(e.Tried, "; ")
 }
