--- a/tally/adapter.go
+++ b/tally/adapter.go
@@ -10,7 +10,7 @@
 	"github.com/google/subcommands"
 )
 
-// adapter makes a command one of google/subcommands.
+// adapter adapts a command to the interface of google/subcommands.
 type adapter struct {
 	command
 	env *environment
--- a/tally/change.go
+++ b/tally/change.go
@@ -2,14 +2,14 @@
 
 import "oleandertally/core/specifier"
 
-// change is the result of one change, as -json prints it.
+// change is the decision on one change, as -json prints it.
 type change struct {
 	Request  string
 	Member   string `json:",omitempty"`
 	From     specifier.Revision
 	Verdict  specifier.Verdict
-	Revision specifier.Revision // in force
-	Operator string             // Conflict: who made the change that won
+	Revision specifier.Revision // the revision in force
+	Operator string             // on Conflict, the operator whose change came first
 	Detail   string
 }
 
--- a/tally/changefile.go
+++ b/tally/changefile.go
@@ -8,7 +8,7 @@
 	"oleandertally/core/specifier"
 )
 
-// changeFile is configurator.ProfileSettings as tally writes it, without what is empty.
+// changeFile is configurator.ProfileSettings with tags that omit empty lists when tally writes it.
 type changeFile struct {
 	Profiles       []specifier.Profile `yaml:"Profiles,omitempty"`
 	Teams          []specifier.Team    `yaml:"Teams,omitempty"`
@@ -16,7 +16,7 @@
 	RemoveTeams    []string            `yaml:"RemoveTeams,omitempty"`
 }
 
-// parseChangeFile reports every wrong value together.
+// parseChangeFile parses a file. Its error lists all invalid values.
 func parseChangeFile(name string, data []byte) (changeFile, error) {
 	settings, err := configurator.Parse[configurator.ProfileSettings](name, data)
 	if err != nil {
@@ -25,7 +25,7 @@
 	return changeFile(settings), nil
 }
 
-// applied returns what configuration becomes by the file, for comparing.
+// applied returns configuration with the changes of the file, for comparison.
 func (f changeFile) applied(configuration specifier.Configuration) specifier.Configuration {
 	next := specifier.Configuration{Profiles: maps.Clone(configuration.Profiles), Teams: maps.Clone(configuration.Teams)}
 	for _, profile := range f.Profiles {
@@ -43,7 +43,7 @@
 	return next
 }
 
-// newChangeFile returns a file with every profile and team of configuration, by name.
+// newChangeFile returns a file with every profile and team of configuration, sorted by name.
 func newChangeFile(configuration specifier.Configuration) changeFile {
 	var file changeFile
 	for _, name := range slices.Sorted(maps.Keys(configuration.Profiles)) {
@@ -55,7 +55,7 @@
 	return file
 }
 
-// changeBetween returns the change that makes now into target.
+// changeBetween returns the change that turns now into target.
 func changeBetween(now, target specifier.Configuration) changeFile {
 	var file changeFile
 	for _, profile := range newChangeFile(target).Profiles {
--- a/tally/check.go
+++ b/tally/check.go
@@ -24,7 +24,7 @@
   tally check -kind deployment site.yaml
 `
 
-// checkers holds the check of each kind of file: it gets the file's name and content.
+// checkers maps each kind of file to its check, which takes the file's name and content.
 var checkers = map[string]func(name string, data []byte) error{
 	"profiles":   checkerOf(configurator.Parse[configurator.ProfileSettings]),
 	"entry":      checkerOf(configurator.Parse[configurator.EntrySettings]),
@@ -34,6 +34,7 @@
 	"operator":   checkerOf(configurator.Parse[configurator.OperatorSettings]),
 }
 
+// checkerOf returns a check that parses the file and discards the settings.
 func checkerOf[S any](parse func(name string, data []byte) (S, error)) func(name string, data []byte) error {
 	return func(name string, data []byte) error {
 		_, err := parse(name, data)
@@ -41,7 +42,7 @@
 	}
 }
 
-// checkCommand checks files.
+// checkCommand implements tally check.
 type checkCommand struct {
 	env  *environment
 	kind string
@@ -65,10 +66,10 @@
 	if len(args) == 0 {
 		return fail(exitUsage, "see: tally help check", "no files")
 	}
-	var reports []checked
+	var reports []checkReport
 	problems := 0
 	for _, name := range args {
-		report := checked{File: name}
+		report := checkReport{File: name}
 		data, err := c.env.readFile(name)
 		if err == nil {
 			err = check(name, data)
@@ -88,7 +89,7 @@
 	return nil
 }
 
-func (c *checkCommand) print(reports []checked) error {
+func (c *checkCommand) print(reports []checkReport) error {
 	if c.json {
 		return writeJSON(c.env.stdout, reports)
 	}
--- a/tally/command.go
+++ b/tally/command.go
@@ -5,10 +5,10 @@
 	"flag"
 )
 
-// command is one command of the command line.
+// command is one command of tally.
 type command interface {
 	name() string
-	// usage is a short summary, the flags, then examples.
+	// usage returns the usage text. Its second line is a short summary; the flags and examples follow.
 	usage() string
 	setFlags(f *flag.FlagSet)
 	run(ctx context.Context, args []string) error
--- a/tally/connection.go
+++ b/tally/connection.go
@@ -16,29 +16,29 @@
 	"oleandertally/core/specifier"
 )
 
-// The environment variables that -settings and -controllers default to.
+// The environment variables that give the defaults of -settings and -controllers.
 const (
 	settingsVariable    = "OLEANDERTALLY_SETTINGS"
 	controllersVariable = "OLEANDERTALLY_CONTROLLERS"
 )
 
 const (
-	// rounds and between cover an election, which takes less than a few seconds.
-	rounds  = 4
-	between = time.Second
+	// maxRounds and roundInterval together outlast an election, which takes a few seconds at most.
+	maxRounds     = 4
+	roundInterval = time.Second
 )
 
-// connection holds the flags of every command that asks the controllers.
+// connection contains the flags of every command that calls the controllers.
 type connection struct {
-	env         *environment
-	settings    string
-	controllers string
-	attempt     time.Duration
-	json        bool
-	name        string // of the operator in the settings; empty without settings
+	env            *environment
+	settings       string
+	controllers    string
+	attemptTimeout time.Duration
+	json           bool
+	operatorName   string // of the operator in the settings; empty without settings
 }
 
-// connectionFlags is their part of a usage text.
+// connectionFlags is the part of the usage text for the flags of connection.
 const connectionFlags = `  -settings FILE     the operator's settings: name, controllers, certificate and token;
                      default $OLEANDERTALLY_SETTINGS
   -controllers LIST  IP:port of each controller, with commas; default $OLEANDERTALLY_CONTROLLERS
@@ -49,20 +49,20 @@
 func (c *connection) setFlags(f *flag.FlagSet) {
 	f.StringVar(&c.settings, "settings", c.env.getenv(settingsVariable), "")
 	f.StringVar(&c.controllers, "controllers", c.env.getenv(controllersVariable), "")
-	f.DurationVar(&c.attempt, "attempt", 5*time.Second, "")
+	f.DurationVar(&c.attemptTimeout, "attempt", 5*time.Second, "")
 	f.BoolVar(&c.json, "json", false, "")
 }
 
-// client returns a client for the controllers that the flags name.
+// client returns a client for the controllers that the flags or the settings list.
 func (c *connection) client() (*operator.Client, error) {
 	addrs, err := parseAddrs(c.controllers)
 	if err != nil {
 		return nil, err
 	}
-	if c.attempt <= 0 {
-		return nil, fail(exitUsage, "", "-attempt is %v, expected more than 0", c.attempt)
+	if c.attemptTimeout <= 0 {
+		return nil, fail(exitUsage, "", "-attempt is %v, expected more than 0", c.attemptTimeout)
 	}
-	client := &operator.Client{Controllers: addrs, Credentials: insecure.NewCredentials(), AttemptTimeout: c.attempt, MaxRounds: rounds, RoundInterval: between,
+	client := &operator.Client{Controllers: addrs, Credentials: insecure.NewCredentials(), AttemptTimeout: c.attemptTimeout, MaxRounds: maxRounds, RoundInterval: roundInterval,
 		Pause: c.env.pause, Clock: c.env.clock}
 	if c.settings != "" {
 		if err := c.secure(client); err != nil {
@@ -75,7 +75,8 @@
 	return client, nil
 }
 
-// secure gives the client the certificate, the token and, unless the flag names them, the controllers of the settings.
+// secure sets the client's credentials and token from the settings. It also sets the controllers, unless -controllers
+// lists them.
 func (c *connection) secure(client *operator.Client) error {
 	settings, err := configurator.Read[configurator.OperatorSettings](c.settings)
 	if err != nil {
@@ -93,7 +94,7 @@
 	if err != nil {
 		return fail(exitFailed, "", "%v", err)
 	}
-	c.name = settings.Name
+	c.operatorName = settings.Name
 	client.AttemptTimeout = min(client.AttemptTimeout, settings.Timeout)
 	client.Credentials, client.PerRPC = security.ClientCredentials(specifier.Controller, ""), token
 	client.RoleCredentials = func(role specifier.Role) credentials.TransportCredentials {
@@ -107,6 +108,7 @@
 	return c.readAt(ctx, 0)
 }
 
+// readAt returns the state with the configuration at revision; 0 is the one in force.
 func (c *connection) readAt(ctx context.Context, revision uint64) (operator.State, error) {
 	client, err := c.client()
 	if err != nil {
@@ -116,7 +118,7 @@
 	return state, explain(err)
 }
 
-// parseAddrs reads a list of IP:port with commas.
+// parseAddrs parses a comma-separated list of IP:port.
 func parseAddrs(list string) ([]netip.AddrPort, error) {
 	var addrs []netip.AddrPort
 	for item := range strings.SplitSeq(list, ",") {
--- a/tally/difference.go
+++ b/tally/difference.go
@@ -9,16 +9,16 @@
 	"oleandertally/core/specifier"
 )
 
-// difference is one field that differs between two configurations. A field that is empty stands
-// for a whole profile or team that one of them lacks.
+// difference is one field that differs between two configurations, as -json prints it. When Field is empty, one of the
+// configurations lacks the whole profile or team.
 type difference struct {
-	Item  string // "profile holds"
+	Item  string // such as "profile holds"
 	Field string
 	Now   string
 	Then  string
 }
 
-// differences returns what changes from now to then, by name.
+// differences returns the changes from now to then, profiles before teams and each sorted by name.
 func differences(now, then specifier.Configuration) []difference {
 	return append(compareItems("profile", now.Profiles, then.Profiles), compareItems("team", now.Teams, then.Teams)...)
 }
@@ -28,13 +28,13 @@
 	maps.Copy(names, then)
 	var found []difference
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		before, had := now[name]
-		after, has := then[name]
+		before, inNow := now[name]
+		after, inThen := then[name]
 		item := kind + " " + name
 		switch {
-		case !had:
+		case !inNow:
 			found = append(found, difference{Item: item, Now: "absent", Then: "added"})
-		case !has:
+		case !inThen:
 			found = append(found, difference{Item: item, Now: "present", Then: "removed"})
 		case before != after:
 			found = append(found, compareFields(item, before, after)...)
--- a/tally/doc.go
+++ b/tally/doc.go
@@ -1,3 +1,2 @@
-// Command tally is the operators' command line. Each command is in a file of its own, with its
-// usage text at the top.
+// Command tally is the command-line tool for operators. Each command has its own file, with its usage text at the top.
 package main
--- a/tally/drain.go
+++ b/tally/drain.go
@@ -17,7 +17,7 @@
   tally drain -zone andina-med
 `
 
-// drainCommand drains members.
+// drainCommand implements tally drain.
 type drainCommand struct{ members }
 
 func (c *drainCommand) name() string             { return "drain" }
--- a/tally/environment.go
+++ b/tally/environment.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// environment is what commands use of their surroundings. Tests replace it.
+// environment provides the commands with input, output, time and ids. Tests replace it.
 type environment struct {
 	stdout, stderr io.Writer
 	getenv         func(string) string
-	userName       func() string // empty when it is not known
+	userName       func() string // empty when unknown
 	readFile       func(name string) ([]byte, error)
 	writeFile      func(name string, data []byte) error
 	clock          func() time.Time
@@ -35,20 +35,20 @@
 	}
 }
 
-// maxFile bounds a settings file, in bytes: 1024 profiles need less than 512 KiB.
-const maxFile = 1 << 20
+// maxFileBytes limits the size of a settings file. 1024 profiles need less than 512 KiB.
+const maxFileBytes = 1 << 20
 
-// readFile returns at most maxFile+1 bytes, so that the reader can refuse a longer file.
+// readFile returns at most maxFileBytes+1 bytes, so that the parser can reject a file that is too long.
 func readFile(name string) ([]byte, error) {
 	file, err := os.Open(name)
 	if err != nil {
 		return nil, err
 	}
 	defer file.Close()
-	return io.ReadAll(io.LimitReader(file, maxFile+1))
+	return io.ReadAll(io.LimitReader(file, maxFileBytes+1))
 }
 
-// userName returns $USER or, where that is not set, the name of the user that runs the command.
+// userName returns $USER or, when it is not set, the name of the user that runs the command.
 func userName() string {
 	if name := os.Getenv("USER"); name != "" {
 		return name
@@ -60,6 +60,7 @@
 	return current.Username
 }
 
+// pause waits for d, or returns the cause when ctx ends first.
 func pause(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/tally/failure.go
+++ b/tally/failure.go
@@ -9,11 +9,11 @@
 	"oleandertally/core/operator"
 )
 
-// failure is an error with its exit code and what to do next.
+// failure is an error with its exit code and a hint about what to do next.
 type failure struct {
 	status  subcommands.ExitStatus
 	message string
-	next    string // empty when the message says it all
+	next    string // the hint; may be empty
 }
 
 // Error returns the message and, on a line of its own, what to do next.
@@ -24,11 +24,12 @@
 	return f.message + "\n  next: " + f.next
 }
 
+// fail returns a failure with a formatted message.
 func fail(status subcommands.ExitStatus, next, format string, args ...any) error {
 	return &failure{status: status, message: fmt.Sprintf(format, args...), next: next}
 }
 
-// explain turns an error of the client into a failure.
+// explain converts the errors of operator.Client for which there is a hint into failures.
 func explain(err error) error {
 	var unreachable *operator.UnreachableError
 	switch {
--- a/tally/fake_test.go
+++ b/tally/fake_test.go
@@ -22,10 +22,10 @@
 	"oleandertally/core/specifier"
 )
 
-var nine = time.Date(2026, 5, 4, 9, 0, 0, 0, time.UTC)
+var baseTime = time.Date(2026, 5, 4, 9, 0, 0, 0, time.UTC)
 
-// fake is a leading controller that keeps configurations like the replicated state does, and a
-// terminal on which tally runs.
+// fake is a leading controller with a simple model of the replicated state, together with the environment in which the
+// tests run tally.
 type fake struct {
 	t       *testing.T
 	addr    netip.AddrPort
@@ -40,15 +40,15 @@
 	state    operator.State
 	requests map[string]specifier.Decision
 	commands []specifier.Command
-	lost     int // changes that are applied, but not answered
+	lost     int // how many of the next changes are applied without an answer
 	buffer   recorder.Buffer
 }
 
 func newFake(t *testing.T) *fake {
 	t.Helper()
-	f := &fake{t: t, history: operator.History{Cap: 10}, files: make(map[string]string), now: nine,
+	f := &fake{t: t, history: operator.History{Cap: 10}, files: make(map[string]string), now: baseTime,
 		requests: make(map[string]specifier.Decision)}
-	f.buffer = recorder.Buffer{Process: "controller-1/0000000000000001", Cap: 100, Clock: func() time.Time { return nine }}
+	f.buffer = recorder.Buffer{Process: "controller-1/0000000000000001", Cap: 100, Clock: func() time.Time { return baseTime }}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	f.addr = netip.MustParseAddrPort(listener.Addr().String())
@@ -59,7 +59,7 @@
 	encoder.RegisterTimelineServer(server, &operator.Timeline{Buffer: &f.buffer})
 	var group errgroup.Group
 	group.Go(func() error {
-		// A test that ends before Serve runs has stopped the server already.
+		// When the test ends before Serve runs, Stop has already been called.
 		if err := server.Serve(listener); !errors.Is(err, grpc.ErrServerStopped) {
 			return err
 		}
@@ -163,7 +163,7 @@
 	f.state.Members = members
 }
 
-// tally runs the command line and returns its exit code.
+// tally runs tally with args and returns its exit code.
 func (f *fake) tally(args ...string) subcommands.ExitStatus {
 	f.out.Reset()
 	f.err.Reset()
@@ -193,7 +193,7 @@
 	}, args)
 }
 
-// assertTally runs the command line and checks its code and that its output holds each text.
+// assertTally runs tally with args, and checks its exit code and that its output contains each text.
 func (f *fake) assertTally(want subcommands.ExitStatus, args []string, texts ...string) {
 	f.t.Helper()
 	got := f.tally(args...)
@@ -203,4 +203,4 @@
 	}
 }
 
-func words(line ...string) []string { return line }
+func arguments(line ...string) []string { return line }
--- a/tally/members.go
+++ b/tally/members.go
@@ -11,13 +11,13 @@
 	"oleandertally/core/specifier"
 )
 
-// members holds the flags and arguments that select members.
+// members contains the flags of the commands that select members by name or zone.
 type members struct {
 	request
 	zone string
 }
 
-// memberFlags is their part of a usage text.
+// memberFlags is the part of the usage text for the flags of members.
 const memberFlags = `  -zone NAME         every member of this availability zone
 `
 
@@ -26,7 +26,7 @@
 	f.StringVar(&m.zone, "zone", "", "")
 }
 
-// selected returns the members that are named, or those of the zone that are not Down.
+// selected returns the members with the given names, or the members of the zone that are not Down.
 func (m *members) selected(state operator.State, names []string) ([]specifier.Member, error) {
 	if (m.zone == "") == (len(names) == 0) {
 		return nil, fail(exitUsage, "", "give either names of members or -zone NAME")
@@ -48,8 +48,8 @@
 	return found, nil
 }
 
-// setDraining sends the change for each selected member and returns the members. Every member
-// is tried, so that one refusal does not keep a zone half drained.
+// setDraining sends the change for each selected member, and returns the members and the decisions. A refusal does not stop
+// the changes for the other members, so that a zone is not left half drained.
 func (m *members) setDraining(ctx context.Context, names []string, draining bool) ([]specifier.Member, []change, error) {
 	client, err := m.client()
 	if err != nil {
@@ -84,7 +84,7 @@
 	return found, changes, nil
 }
 
-// print writes what was decided for each member.
+// print writes the decision for each member.
 func (m *members) print(changes []change) error {
 	if m.json {
 		return writeJSON(m.env.stdout, changes)
--- a/tally/output.go
+++ b/tally/output.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 )
 
-// writeTable writes rows under a header in aligned columns.
+// writeTable writes a header and rows in aligned columns.
 func writeTable(w io.Writer, header []string, rows [][]string) {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, strings.Join(header, "\t"))
@@ -18,14 +18,14 @@
 	table.Flush()
 }
 
-// writeJSON writes value with indents. Durations are in nanoseconds.
+// writeJSON writes value as indented JSON. Durations are in nanoseconds.
 func writeJSON(w io.Writer, value any) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(value)
 }
 
-// orDash shows an empty cell as "-", so that columns can be cut by programs as well.
+// orDash returns "-" for an empty cell, so that programs can split the columns.
 func orDash(text string) string {
 	if text == "" {
 		return "-"
--- a/tally/page_test.go
+++ b/tally/page_test.go
@@ -16,8 +16,8 @@
 	pageCommand = regexp.MustCompile("(?m)(?:^    |`)tally ([a-z]+)(?: (list|show|apply|compare|revert))?([^`#\n]*)")
 )
 
-// Guards against a page with commands, flags or exit codes that are not there, and codes that it
-// leaves out.
+// Guards against commands, flags or exit codes on the operators' page that do not exist, and against exit codes that the
+// page lacks.
 func TestOperatorsPage(t *testing.T) {
 	page, err := os.ReadFile("../docs/operators.md")
 	must.NoError(t, err)
@@ -38,7 +38,7 @@
 	})
 }
 
-// assertCommand checks that a command is there and has the flags that rest names.
+// assertCommand checks that the command exists and has the flags that occur in rest.
 func assertCommand(t *testing.T, name, sub, rest string) {
 	t.Helper()
 	env := newEnvironment()
--- a/tally/profiles.go
+++ b/tally/profiles.go
@@ -23,7 +23,7 @@
   tally profiles help apply
 `
 
-// profilesCommand groups the commands about the configuration.
+// profilesCommand groups the commands that read or change the configuration.
 type profilesCommand struct{ env *environment }
 
 // Name returns the name of the group.
@@ -37,7 +37,7 @@
 // Usage returns the whole usage text.
 func (c *profilesCommand) Usage() string { return profilesUsage }
 
-// SetFlags adds nothing: each command of the group has its own flags.
+// SetFlags adds no flags: each command of the group has its own.
 func (c *profilesCommand) SetFlags(*flag.FlagSet) {}
 
 // Execute runs the command that the first argument names.
@@ -46,14 +46,14 @@
 }
 
 func profileCommands(env *environment) []subcommands.Command {
-	ask := connection{env: env}
+	shared := connection{env: env}
 	var adapted []subcommands.Command
 	for _, c := range []command{
-		&listCommand{connection: ask},
-		&showCommand{connection: ask},
-		&applyCommand{revised{request: request{connection: ask}}},
-		&compareCommand{connection: ask},
-		&revertCommand{revised: revised{request: request{connection: ask}}},
+		&listCommand{connection: shared},
+		&showCommand{connection: shared},
+		&applyCommand{revisionRequest{request: request{connection: shared}}},
+		&compareCommand{connection: shared},
+		&revertCommand{revisionRequest: revisionRequest{request: request{connection: shared}}},
 	} {
 		adapted = append(adapted, &adapter{command: c, env: env})
 	}
--- a/tally/profilesapply.go
+++ b/tally/profilesapply.go
@@ -13,18 +13,18 @@
 came first, nothing is applied and the command returns with code 3.
 
 Flags:
-` + revisedFlags + requestFlags + connectionFlags + `
+` + revisionFlags + requestFlags + connectionFlags + `
 Examples:
   tally profiles apply holds.yaml
   tally profiles apply -from 41 -request 6UWYJ2D6RCVLMJCFQ5ZLOSN5VX holds.yaml
 `
 
-// applyCommand applies a file.
-type applyCommand struct{ revised }
+// applyCommand implements tally profiles apply.
+type applyCommand struct{ revisionRequest }
 
 func (c *applyCommand) name() string             { return "apply" }
 func (c *applyCommand) usage() string            { return applyUsage }
-func (c *applyCommand) setFlags(f *flag.FlagSet) { c.revised.setFlags(f) }
+func (c *applyCommand) setFlags(f *flag.FlagSet) { c.revisionRequest.setFlags(f) }
 
 func (c *applyCommand) run(ctx context.Context, args []string) error {
 	file, err := c.env.changeFile(args)
@@ -45,7 +45,7 @@
 	return c.submit(ctx, client, file, state.Configuration.Revision)
 }
 
-// changeFile reads the file that args name.
+// changeFile reads the file given by args, which must be one name.
 func (e *environment) changeFile(args []string) (changeFile, error) {
 	if len(args) != 1 {
 		return changeFile{}, fail(exitUsage, "flags come before the file", "%d files, expected one", len(args))
--- a/tally/profilescompare.go
+++ b/tally/profilescompare.go
@@ -19,7 +19,7 @@
   tally profiles compare -revision 41
 `
 
-// compareCommand shows differences.
+// compareCommand implements tally profiles compare.
 type compareCommand struct {
 	connection
 	revision uint64
--- a/tally/profileslist.go
+++ b/tally/profileslist.go
@@ -23,7 +23,7 @@
   tally profiles list
 `
 
-// listCommand lists the profiles in force.
+// listCommand implements tally profiles list.
 type listCommand struct{ connection }
 
 func (c *listCommand) name() string             { return "list" }
@@ -49,18 +49,20 @@
 }
 
 func profileRow(p specifier.Profile) []string {
-	return []string{p.Name, p.Service, strconv.FormatBool(p.Repeatable), strconv.Itoa(p.Priority), span(p.MaxTimeLeft),
-		span(p.TypicalTime), number(float64(p.QueueBound)), number(p.RetryBudget), number(p.LongShare), number(float64(p.BreakerAfter))}
+	return []string{p.Name, p.Service, strconv.FormatBool(p.Repeatable), strconv.Itoa(p.Priority), durationCell(p.MaxTimeLeft),
+		durationCell(p.TypicalTime), numberCell(float64(p.QueueBound)), numberCell(p.RetryBudget), numberCell(p.LongShare), numberCell(float64(p.BreakerAfter))}
 }
 
-func span(d time.Duration) string {
+// durationCell returns "-" for a zero duration, which stands for the default.
+func durationCell(d time.Duration) string {
 	if d == 0 {
 		return "-"
 	}
 	return d.String()
 }
 
-func number(value float64) string {
+// numberCell returns "-" for zero, which stands for the default.
+func numberCell(value float64) string {
 	if value == 0 {
 		return "-"
 	}
--- a/tally/profilesrevert.go
+++ b/tally/profilesrevert.go
@@ -16,15 +16,15 @@
 
 Flags:
   -to N              the revision to return to
-` + revisedFlags + requestFlags + connectionFlags + `
+` + revisionFlags + requestFlags + connectionFlags + `
 Examples:
   tally profiles compare -revision 41
   tally profiles revert -to 41
 `
 
-// revertCommand returns to an earlier revision.
+// revertCommand implements tally profiles revert.
 type revertCommand struct {
-	revised
+	revisionRequest
 	to uint64
 }
 
@@ -32,7 +32,7 @@
 func (c *revertCommand) usage() string { return revertUsage }
 
 func (c *revertCommand) setFlags(f *flag.FlagSet) {
-	c.revised.setFlags(f)
+	c.revisionRequest.setFlags(f)
 	f.Uint64Var(&c.to, "to", 0, "")
 }
 
@@ -53,7 +53,7 @@
 		return explain(err)
 	}
 	file := changeBetween(now.Configuration, target.Configuration)
-	// A resend must reach the controllers even when the first one was applied.
+	// A repeated request must reach the controllers even when the first one was applied.
 	if file.isEmpty() && c.id == "" {
 		_, err := fmt.Fprintf(c.env.stdout, "revision %d is already like revision %d\n", now.Configuration.Revision, c.to)
 		return err
--- a/tally/profilesshow.go
+++ b/tally/profilesshow.go
@@ -21,7 +21,7 @@
   tally profiles show -revision 41 > saved.yaml
 `
 
-// showCommand prints profiles as a file.
+// showCommand implements tally profiles show.
 type showCommand struct {
 	connection
 	revision uint64
@@ -54,7 +54,7 @@
 	if c.json {
 		return writeJSON(c.env.stdout, file)
 	}
-	// A zero means the default, and is refused in a file.
+	// Zero values stand for defaults and are invalid in a file, so they are omitted.
 	text, err := yaml.MarshalWithOptions(file, yaml.OmitEmpty())
 	if err != nil {
 		return err
--- a/tally/request.go
+++ b/tally/request.go
@@ -11,14 +11,14 @@
 	"oleandertally/core/specifier"
 )
 
-// request holds the flags of every command that changes something.
+// request contains the flags of every command that sends a change.
 type request struct {
 	connection
 	id       string
 	operator string
 }
 
-// requestFlags is their part of a usage text.
+// requestFlags is the part of the usage text for the flags of request.
 const requestFlags = `  -request ID        id of the request; give the printed one again to resend after a lost answer
   -operator NAME     who makes the change; default the name in the settings,
                      without settings the name of the user
@@ -30,11 +30,11 @@
 	f.StringVar(&r.operator, "operator", r.env.userName(), "")
 }
 
-// announce chooses the request's id and prints it before anything is sent, so that the operator
-// has it when the answer is lost.
+// announce generates the request's id, unless -request gives one, and prints it before the request is sent, so that the
+// operator can repeat the request when its answer is lost.
 func (r *request) announce(detail string) error {
-	if r.name != "" {
-		r.operator = r.name // the token is valid for this name only
+	if r.operatorName != "" {
+		r.operator = r.operatorName // the token is valid for this name only
 	}
 	for _, field := range []struct{ flag, text string }{{"-operator", r.operator}, {"-request", r.id}} {
 		if len(field.text) > specifier.MaxName {
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// send proposes command and returns the decision. When the answer is lost, the error says how
-// to send the same request again.
+// send proposes command and returns the decision. When the answer is lost, the error tells the operator how to repeat the
+// same request.
 func (r *request) send(ctx context.Context, client *operator.Client, command specifier.Command) (specifier.Decision, error) {
 	decision, err := client.Change(ctx, r.id, r.operator, command)
 	var unreachable *operator.UnreachableError
--- a/tally/resume.go
+++ b/tally/resume.go
@@ -15,7 +15,7 @@
   tally resume -zone andina-med
 `
 
-// resumeCommand undoes drain.
+// resumeCommand implements tally resume.
 type resumeCommand struct{ members }
 
 func (c *resumeCommand) name() string             { return "resume" }
--- a/tally/revised.go
+++ b/tally/revisionrequest.go
@@ -9,24 +9,24 @@
 	"oleandertally/core/specifier"
 )
 
-// revised holds the flags of the commands that change the configuration.
-type revised struct {
+// revisionRequest contains the flags of the commands that create a revision of the configuration.
+type revisionRequest struct {
 	request
 	from uint64
 }
 
-// revisedFlags is their part of a usage text.
-const revisedFlags = `  -from N            revision that the change was made from; default the one in force
+// revisionFlags is the part of the usage text for the flags of revisionRequest.
+const revisionFlags = `  -from N            revision that the change was made from; default the one in force
 `
 
-func (r *revised) setFlags(f *flag.FlagSet) {
+func (r *revisionRequest) setFlags(f *flag.FlagSet) {
 	r.request.setFlags(f)
 	f.Uint64Var(&r.from, "from", 0, "")
 }
 
-// submit sends the change of file, made from r.from or else from revision read, and prints what
-// was decided.
-func (r *revised) submit(ctx context.Context, client *operator.Client, file changeFile, read specifier.Revision) error {
+// submit sends the change of file and prints the decision. The change is made from revision r.from, or from revision read
+// when r.from is not set.
+func (r *revisionRequest) submit(ctx context.Context, client *operator.Client, file changeFile, read specifier.Revision) error {
 	from := read
 	if r.from > 0 {
 		from = specifier.Revision(r.from)
@@ -44,11 +44,11 @@
 			return err
 		}
 	}
-	return r.conclude(decision, from)
+	return r.reportDecision(decision, from)
 }
 
-// conclude tells the operator of the decision.
-func (r *revised) conclude(decision specifier.Decision, from specifier.Revision) error {
+// reportDecision prints that the change was applied, or returns why it was not.
+func (r *revisionRequest) reportDecision(decision specifier.Decision, from specifier.Revision) error {
 	switch decision.Verdict {
 	case specifier.Applied:
 		if !r.json {
--- a/tally/run.go
+++ b/tally/run.go
@@ -9,7 +9,7 @@
 	"github.com/google/subcommands"
 )
 
-// commands returns every command; those of profiles are in a group of their own.
+// commands returns all commands. Those of tally profiles form one group.
 func commands(env *environment) []subcommands.Command {
 	list := []command{
 		&checkCommand{env: env},
@@ -26,7 +26,7 @@
 	return adapted
 }
 
-// run executes the command that args name and returns the exit code.
+// run executes the command given by args and returns its exit code.
 func run(ctx context.Context, env *environment, args []string) subcommands.ExitStatus {
 	flags := flag.NewFlagSet("tally", flag.ContinueOnError)
 	flags.SetOutput(env.stderr)
--- a/tally/status.go
+++ b/tally/status.go
@@ -26,7 +26,7 @@
   tally status -json
 `
 
-// statusCommand shows the state.
+// statusCommand implements tally status.
 type statusCommand struct {
 	connection
 	zone string
@@ -78,7 +78,7 @@
 	var rows [][]string
 	for _, s := range state.Controllers {
 		role, heard := "voter", s.SinceHeard.Round(time.Millisecond).String()+" ago"
-		commit, applied := "-", "-" // known to the leader of itself only
+		commit, applied := "-", "-" // the leader knows these only for itself
 		switch {
 		case s.Leading:
 			role, heard = "leader", "-"
@@ -93,10 +93,10 @@
 }
 
 func zoneRows(state operator.State) [][]string {
-	zones := make(map[string]*zone)
+	zones := make(map[string]*zoneCounts)
 	for _, member := range state.Members {
 		if zones[member.Zone] == nil {
-			zones[member.Zone] = &zone{}
+			zones[member.Zone] = &zoneCounts{}
 		}
 		load, known := state.Load(member.Identity)
 		zones[member.Zone].add(member, load, known)
--- a/tally/stop.go
+++ b/tally/stop.go
@@ -25,11 +25,11 @@
   tally stop -zone andina-med -deadline 20m
 `
 
-// stopCommand drains and waits.
+// stopCommand implements tally stop.
 type stopCommand struct {
 	members
-	wait  time.Duration
-	every time.Duration
+	timeout      time.Duration
+	pollInterval time.Duration
 }
 
 func (c *stopCommand) name() string  { return "stop" }
@@ -37,62 +37,62 @@
 
 func (c *stopCommand) setFlags(f *flag.FlagSet) {
 	c.members.setFlags(f)
-	f.DurationVar(&c.wait, "deadline", 5*time.Minute, "")
-	f.DurationVar(&c.every, "every", time.Second, "")
+	f.DurationVar(&c.timeout, "deadline", 5*time.Minute, "")
+	f.DurationVar(&c.pollInterval, "every", time.Second, "")
 }
 
 func (c *stopCommand) run(ctx context.Context, args []string) error {
-	if c.wait <= 0 || c.every <= 0 {
+	if c.timeout <= 0 || c.pollInterval <= 0 {
 		return fail(exitUsage, "", "-deadline and -every must be more than 0")
 	}
-	deadline := c.env.clock().Add(c.wait)
+	deadline := c.env.clock().Add(c.timeout)
 	targets, _, err := c.setDraining(ctx, args, true)
 	if err != nil {
 		return err
 	}
-	shown := ""
+	lastLine := ""
 	for {
 		state, err := c.read(ctx)
 		if err != nil {
 			return err
 		}
-		left := progressOf(state, targets)
-		if line := left.String(); line != shown {
+		remaining := stopProgressOf(state, targets)
+		if line := remaining.String(); line != lastLine {
 			fmt.Fprintln(c.env.stderr, line)
-			shown = line
+			lastLine = line
 		}
-		if left.isDone() {
-			return c.report(left)
+		if remaining.isDone() {
+			return c.report(remaining)
 		}
 		if !c.env.clock().Before(deadline) {
-			return fail(exitDeadline, "give the command again to wait longer, or: tally resume", "not ended after %v: %s", c.wait, left.names())
+			return fail(exitDeadline, "give the command again to wait longer, or: tally resume", "not ended after %v: %s", c.timeout, remaining.waitingNames())
 		}
-		if err := c.env.pause(ctx, c.every); err != nil {
-			return fail(exitFailed, "the members stay drained; undo with: tally resume", "interrupted: %s", left)
+		if err := c.env.pause(ctx, c.pollInterval); err != nil {
+			return fail(exitFailed, "the members stay drained; undo with: tally resume", "interrupted: %s", remaining)
 		}
 	}
 }
 
-func (c *stopCommand) report(left progress) error {
+func (c *stopCommand) report(remaining stopProgress) error {
 	if c.json {
-		return writeJSON(c.env.stdout, left)
+		return writeJSON(c.env.stdout, remaining)
 	}
-	_, err := fmt.Fprintf(c.env.stdout, "%d members have ended; their processes can be stopped\n", left.Ended)
+	_, err := fmt.Fprintf(c.env.stdout, "%d members have ended; their processes can be stopped\n", remaining.Ended)
 	return err
 }
 
-// progressOf counts the members that have ended. A restart during the wait is a run of the same
-// name, so names are compared.
-func progressOf(state operator.State, targets []specifier.Member) progress {
+// stopProgressOf returns which of targets have ended. Members are compared by name, because a member that restarts during
+// the wait keeps its name and has a new incarnation.
+func stopProgressOf(state operator.State, targets []specifier.Member) stopProgress {
 	now := make(map[string]specifier.Member)
 	for _, member := range state.Members {
 		now[member.Name] = member
 	}
-	var p progress
+	var p stopProgress
 	for _, target := range targets {
 		member, present := now[target.Name]
 		load, known := state.Load(member.Identity)
-		// An agent that knows that it drains reports no slots; an earlier report may be out of date.
+		// An agent that has started to drain reports no slots. A report with slots may be older than the drain.
 		idle := member.State == specifier.Draining && known && load.Slots == 0 && load.Running == 0 && load.Queued == 0
 		if !present || member.State == specifier.Down || idle {
 			p.Ended++
--- a/tally/tally_test.go
+++ b/tally/tally_test.go
@@ -27,7 +27,7 @@
 
 var usageFlag = regexp.MustCompile(`(?m)^  -([a-z]+) `)
 
-// Guards against a flag that the usage text does not name, and one that it names but is not there.
+// Guards against a flag that the usage text does not describe, and against a described flag that does not exist.
 func TestUsageNamesEveryFlag(t *testing.T) {
 	env := newEnvironment()
 	for _, c := range append(commands(env), profileCommands(env)...) {
@@ -47,7 +47,7 @@
 	}
 }
 
-// Guards against exit codes that scripts cannot rely on.
+// Guards against a usage error that returns another exit code, because scripts depend on the codes.
 func TestUsageErrors(t *testing.T) {
 	for _, args := range [][]string{{}, {"nosuch"}, {"status", "-nosuch"}, {"status", "x"}, {"drain"}, {"drain", "-zone", "z", "worker-1"},
 		{"profiles"}, {"profiles", "apply"}, {"profiles", "compare"}, {"profiles", "revert"}, {"check"}, {"check", "-kind", "x", "f"},
@@ -57,11 +57,11 @@
 	}
 }
 
-// Guards against tables that lose a member or a count.
+// Guards against tables that lack a member or a count.
 func TestStatus(t *testing.T) {
 	t.Run("tables", func(t *testing.T) {
 		f := newFake(t)
-		f.assertTally(exitDone, words("status"))
+		f.assertTally(exitDone, arguments("status"))
 		must.Eq(t, `Revision 1 by eva
 
 CONTROLLER    ADDRESS      ZONE     ROLE    TERM  COMMIT  APPLIED  SYNCED  HEARD
@@ -83,20 +83,20 @@
 	})
 	t.Run("json", func(t *testing.T) {
 		f := newFake(t)
-		f.assertTally(exitDone, words("status", "-json", "-zone", "cartago"))
+		f.assertTally(exitDone, arguments("status", "-json", "-zone", "cartago"))
 		var state operator.State
 		must.NoError(t, json.Unmarshal(f.out.Bytes(), &state))
 		must.Len(t, 1, state.Members)
 	})
-	t.Run("unknown zone", func(t *testing.T) { newFake(t).assertTally(exitFailed, words("status", "-zone", "x"), "next: ") })
+	t.Run("unknown zone", func(t *testing.T) { newFake(t).assertTally(exitFailed, arguments("status", "-zone", "x"), "next: ") })
 	t.Run("no controller", func(t *testing.T) {
-		newFake(t).assertTally(exitUnreachable, words("status", "-controllers", "127.0.0.1:1"), "next: ", "refused")
+		newFake(t).assertTally(exitUnreachable, arguments("status", "-controllers", "127.0.0.1:1"), "next: ", "refused")
 	})
 }
 
-// Guards against a change that is applied twice, is lost silently, or overwrites another one.
+// Guards against a change that is applied twice, is lost without an error, or overwrites another change.
 func TestApply(t *testing.T) {
-	apply := words("profiles", "apply", "holds.yaml")
+	apply := arguments("profiles", "apply", "holds.yaml")
 	withFile := func(t *testing.T) *fake {
 		f := newFake(t)
 		f.files["holds.yaml"] = holdsFile
@@ -109,102 +109,102 @@
 			Profiles: []specifier.Profile{{Name: "holds", Service: "reservas", MaxTimeLeft: 3 * time.Second},
 				{Name: "quotes", Service: "cotizador", Repeatable: true}}, RemoveTeams: []string{"ventas"}}), f.commands[0])
 	})
-	t.Run("the loser of a race is told who won", func(t *testing.T) {
+	t.Run("a conflict names the change that came first", func(t *testing.T) {
 		f := withFile(t)
 		f.assertTally(exitDone, apply)
-		f.assertTally(exitConflict, words("profiles", "apply", "-from", "1", "-request", "id-2", "-operator", "eva", "holds.yaml"), "revision 2 by ana is in force", "next: ")
+		f.assertTally(exitConflict, arguments("profiles", "apply", "-from", "1", "-request", "id-2", "-operator", "eva", "holds.yaml"), "revision 2 by ana is in force", "next: ")
 	})
-	t.Run("an answer that is lost once is asked again", func(t *testing.T) {
+	t.Run("a change is sent again after a lost answer", func(t *testing.T) {
 		f := withFile(t)
 		f.lost = 1
 		f.assertTally(exitDone, apply, "revision 2 is in force")
 		must.Len(t, 2, f.commands)
 		must.Eq(t, specifier.Revision(2), f.state.Configuration.Revision)
 	})
-	t.Run("a resend by the operator gets the first answer", func(t *testing.T) {
+	t.Run("a request that the operator repeats gets the first decision", func(t *testing.T) {
 		f := withFile(t)
-		f.lost = rounds
+		f.lost = maxRounds
 		f.assertTally(exitUnreachable, apply, "-request id-1")
-		f.assertTally(exitDone, words("profiles", "apply", "-request", "id-1", "holds.yaml"), "revision 2 is in force")
+		f.assertTally(exitDone, arguments("profiles", "apply", "-request", "id-1", "holds.yaml"), "revision 2 is in force")
 		must.Eq(t, specifier.Revision(2), f.state.Configuration.Revision)
 	})
 	t.Run("json", func(t *testing.T) {
 		f := withFile(t)
-		f.assertTally(exitDone, words("profiles", "apply", "-json", "holds.yaml"))
+		f.assertTally(exitDone, arguments("profiles", "apply", "-json", "holds.yaml"))
 		var got change
 		must.NoError(t, json.Unmarshal(f.out.Bytes(), &got))
 		must.Eq(t, change{Request: "id-1", From: 1, Verdict: specifier.Applied, Revision: 2}, got)
 	})
 }
 
-// Guards against a file that is sent although it is wrong, and an error that names no field.
+// Guards against a change that is sent although its file is invalid, and against an error that names no field.
 func TestFilesAreChecked(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
 		"unknown field": {"Profiles:\n  - Name: a\n    Service: b\n    Prioritty: 1\n", "Prioritty"},
 		"wrong values":  {"Profiles:\n  - Name: a\n    Service: b\n    Priority: 10\n  - Name: c\n", "Profiles[0].Priority"},
 		"repeats":       {"Teams:\n  - Name: a\n    Share: 1\nRemoveTeams: [a]\n", `RemoveTeams[0]: "a" is already named by Teams[0]`},
 		"empty":         {"Profiles: []\n", "Profiles: missing, expected at least one profile or team"},
-		"too long":      {strings.Repeat("#", maxFile+1), "longer than 1MiB"},
+		"too long":      {strings.Repeat("#", maxFileBytes+1), "longer than 1MiB"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFake(t)
 			f.files["x.yaml"] = c.text
-			f.assertTally(exitRejected, words("profiles", "apply", "x.yaml"), c.want)
+			f.assertTally(exitRejected, arguments("profiles", "apply", "x.yaml"), c.want)
 			must.SliceEmpty(t, f.commands)
 		})
 	}
 	t.Run("check", func(t *testing.T) {
 		f := newFake(t)
 		f.files["good.yaml"], f.files["bad.yaml"] = holdsFile, "Teams: 7\n"
-		f.assertTally(exitDone, words("check", "good.yaml"), "good.yaml: correct")
-		f.assertTally(exitDifferent, words("check", "-json", "good.yaml", "bad.yaml", "absent.yaml"), "2 of 3 files", `"Problem": "no such file"`)
+		f.assertTally(exitDone, arguments("check", "good.yaml"), "good.yaml: correct")
+		f.assertTally(exitDifferent, arguments("check", "-json", "good.yaml", "bad.yaml", "absent.yaml"), "2 of 3 files", `"Problem": "no such file"`)
 	})
 }
 
-// Guards against differences that are not shown, and a revert that leaves some.
+// Guards against differences that are not shown, and against a revert that does not restore all of them.
 func TestCompareAndRevert(t *testing.T) {
 	f := newFake(t)
 	f.files["holds.yaml"] = holdsFile
-	f.assertTally(exitDifferent, words("profiles", "compare", "holds.yaml"))
+	f.assertTally(exitDifferent, arguments("profiles", "compare", "holds.yaml"))
 	must.Eq(t, `ITEM            FIELD        REVISION 1  WOULD BE
 profile holds   MaxTimeLeft  2s          3s
 profile quotes  -            absent      added
 team ventas     -            present     removed
 `, f.out.String())
-	f.assertTally(exitDone, words("profiles", "apply", "holds.yaml"))
-	f.assertTally(exitDone, words("profiles", "compare", "holds.yaml"), "no differences from revision 2")
-	f.assertTally(exitDifferent, words("profiles", "compare", "-revision", "1"), "team ventas")
-	f.assertTally(exitDone, words("profiles", "revert", "-request", "id-9", "-to", "1"), "revision 3 is in force")
+	f.assertTally(exitDone, arguments("profiles", "apply", "holds.yaml"))
+	f.assertTally(exitDone, arguments("profiles", "compare", "holds.yaml"), "no differences from revision 2")
+	f.assertTally(exitDifferent, arguments("profiles", "compare", "-revision", "1"), "team ventas")
+	f.assertTally(exitDone, arguments("profiles", "revert", "-request", "id-9", "-to", "1"), "revision 3 is in force")
 	must.Eq(t, sampleState().Configuration.Profiles, f.state.Configuration.Profiles)
 	must.Eq(t, sampleState().Configuration.Teams, f.state.Configuration.Teams)
-	f.assertTally(exitDone, words("profiles", "revert", "-to", "1"), "revision 3 is already like revision 1")
-	f.assertTally(exitDone, words("profiles", "revert", "-request", "id-9", "-to", "1"), "revision 3 is in force")
+	f.assertTally(exitDone, arguments("profiles", "revert", "-to", "1"), "revision 3 is already like revision 1")
+	f.assertTally(exitDone, arguments("profiles", "revert", "-request", "id-9", "-to", "1"), "revision 3 is in force")
 	must.Eq(t, specifier.Revision(3), f.state.Configuration.Revision)
-	f.assertTally(exitFailed, words("profiles", "revert", "-to", "77"), "not held", "next: ")
+	f.assertTally(exitFailed, arguments("profiles", "revert", "-to", "77"), "not held", "next: ")
 }
 
-// Guards against a printed file that apply reads differently.
+// Guards against a file printed by show that apply reads differently.
 func TestShowPrintsWhatApplyReads(t *testing.T) {
 	f := newFake(t)
-	f.assertTally(exitDone, words("profiles", "show"), "# revision 1")
+	f.assertTally(exitDone, arguments("profiles", "show"), "# revision 1")
 	f.files["saved.yaml"] = f.out.String()
-	f.assertTally(exitDone, words("profiles", "compare", "saved.yaml"), "no differences")
-	f.assertTally(exitDone, words("profiles", "list"), "holds    reservas  false")
-	f.assertTally(exitFailed, words("profiles", "show", "x"), "no profile is named")
+	f.assertTally(exitDone, arguments("profiles", "compare", "saved.yaml"), "no differences")
+	f.assertTally(exitDone, arguments("profiles", "list"), "holds    reservas  false")
+	f.assertTally(exitFailed, arguments("profiles", "show", "x"), "no profile is named")
 }
 
-// Guards against members that are left out or drained by mistake.
+// Guards against members that are omitted, or drained although they were not selected.
 func TestDrainAndResume(t *testing.T) {
 	f := newFake(t)
-	f.assertTally(exitDone, words("drain", "-zone", "heredia"), "request id-1 for 2 members")
+	f.assertTally(exitDone, arguments("drain", "-zone", "heredia"), "request id-1 for 2 members")
 	must.Eq(t, []specifier.Command{specifier.DrainMember{Name: "entry-1", Draining: true}, specifier.DrainMember{Name: "worker-1", Draining: true}}, f.commands)
-	f.assertTally(exitDone, words("resume", "worker-1"), "worker-1  Applied")
+	f.assertTally(exitDone, arguments("resume", "worker-1"), "worker-1  Applied")
 	must.Eq(t, specifier.Up, f.state.Members[1].State)
-	f.assertTally(exitRejected, words("drain", "worker-1", "worker-3"), "worker-1  Applied", "worker-3  Rejected", "refused for worker-3")
-	f.assertTally(exitFailed, words("drain", "nosuch"), "no member is named")
+	f.assertTally(exitRejected, arguments("drain", "worker-1", "worker-3"), "worker-1  Applied", "worker-3  Rejected", "refused for worker-3")
+	f.assertTally(exitFailed, arguments("drain", "nosuch"), "no member is named")
 }
 
-// Guards against a stop that says it ended while tasks run, or never returns.
+// Guards against a stop that reports success while tasks run, or that never returns.
 func TestStop(t *testing.T) {
 	setLoad := func(f *fake, running int) {
 		f.mutex.Lock()
@@ -215,25 +215,25 @@
 		f := newFake(t)
 		running := 3
 		f.onPause = func() { running--; setLoad(f, running) }
-		f.assertTally(exitDone, words("stop", "worker-1"), "0 of 1 members have ended, 3 tasks run, 1 wait",
+		f.assertTally(exitDone, arguments("stop", "worker-1"), "0 of 1 members have ended, 3 tasks run, 1 wait",
 			"0 of 1 members have ended, 1 tasks run", "1 members have ended")
-		must.Eq(t, nine.Add(3*time.Second), f.now)
+		must.Eq(t, baseTime.Add(3*time.Second), f.now)
 	})
 	t.Run("waits for a member of unknown load until it is down", func(t *testing.T) {
 		f := newFake(t)
 		f.onPause = func() { f.mutex.Lock(); f.setState("entry-1", specifier.Down); f.mutex.Unlock() }
-		f.assertTally(exitDone, words("stop", "-json", "entry-1"), `"Ended": 1`)
-		must.Eq(t, nine.Add(time.Second), f.now)
+		f.assertTally(exitDone, arguments("stop", "-json", "entry-1"), `"Ended": 1`)
+		must.Eq(t, baseTime.Add(time.Second), f.now)
 	})
 	t.Run("returns at the deadline", func(t *testing.T) {
 		f := newFake(t)
-		f.assertTally(exitDeadline, words("stop", "-deadline", "10s", "worker-1"), "worker-1", "next: ")
-		must.Eq(t, nine.Add(10*time.Second), f.now)
+		f.assertTally(exitDeadline, arguments("stop", "-deadline", "10s", "worker-1"), "worker-1", "next: ")
+		must.Eq(t, baseTime.Add(10*time.Second), f.now)
 		must.Eq(t, specifier.Draining, f.state.Members[1].State)
 	})
 }
 
-// Guards against a command that does not answer why a job was refused, or hides missing events.
+// Guards against a time line that does not show why a job was refused, or that hides that events are missing.
 func TestTimeline(t *testing.T) {
 	hold := specifier.NewJobID("reservas", "hold-1")
 	withEvents := func(t *testing.T) *fake {
@@ -243,7 +243,7 @@
 		f.buffer.Add(recorder.Event{Kind: recorder.JobAnswered, Job: hold, Detail: "NotRun Overloaded: needs 2s, has 1s"})
 		return f
 	}
-	job := words("timeline", "-team", "reservas", "-key", "hold-1")
+	job := arguments("timeline", "-team", "reservas", "-key", "hold-1")
 	t.Run("text", func(t *testing.T) {
 		withEvents(t).assertTally(exitDone, job, "Refused because", "Overloaded: needs 2s, has 1s", "waiting at the entry",
 			"127.0.0.1:1 does not answer, its events are missing")
@@ -255,7 +255,7 @@
 	})
 	t.Run("json", func(t *testing.T) {
 		f := withEvents(t)
-		f.assertTally(exitDone, words("timeline", "-json", "-job", hold.String()))
+		f.assertTally(exitDone, arguments("timeline", "-json", "-job", hold.String()))
 		var report timelineReport
 		must.NoError(t, json.Unmarshal(f.out.Bytes(), &report))
 		must.Eq(t, "Overloaded: needs 2s, has 1s", report.Refused)
@@ -263,10 +263,10 @@
 	})
 	t.Run("span", func(t *testing.T) {
 		f := withEvents(t)
-		f.assertTally(exitDone, words("timeline", "-from", "2026-05-04T10:00:00Z"))
+		f.assertTally(exitDone, arguments("timeline", "-from", "2026-05-04T10:00:00Z"))
 		must.StrNotContains(t, f.out.String(), "JobSubmitted")
 	})
-	t.Run("nobody answers", func(t *testing.T) {
+	t.Run("no process answers", func(t *testing.T) {
 		newFake(t).assertTally(exitUnreachable, append(job, "-controllers", "127.0.0.1:1"), "none of 1 processes answered")
 	})
 }
--- a/tally/timeline.go
+++ b/tally/timeline.go
@@ -41,10 +41,10 @@
   tally timeline -worker worker-17 -from 2026-05-04T09:00:00Z -to 2026-05-04T09:00:05Z
 `
 
-// gatherLimit bounds the processes that are asked at once.
-const gatherLimit = 32
+// maxConcurrentRequests limits how many processes are called concurrently.
+const maxConcurrentRequests = 32
 
-// timelineCommand gathers, merges and shows events.
+// timelineCommand implements tally timeline.
 type timelineCommand struct {
 	connection
 	team, key, job string
@@ -93,7 +93,7 @@
 	return c.show(timeline, filter.Job)
 }
 
-// filter reads the flags that select events.
+// filter returns the filter that the flags describe.
 func (c *timelineCommand) filter() (recorder.Filter, error) {
 	filter := recorder.Filter{Worker: c.worker}
 	if (c.team == "") != (c.key == "") || c.team != "" && c.job != "" {
@@ -128,8 +128,8 @@
 	return at, nil
 }
 
-// processes returns the addresses of all members that are not Down, of the controllers, and of
-// -at. Without a leader, the controllers and -at are asked all the same.
+// processes returns the addresses of all members that are not Down, of the controllers, and of -at. When no leader
+// answers, it returns only the addresses of the -controllers and -at flags or the settings.
 func (c *timelineCommand) processes(ctx context.Context, client *operator.Client) ([]netip.AddrPort, error) {
 	addrs, err := parseAddrs(c.at)
 	if err != nil {
@@ -155,12 +155,12 @@
 	return slices.Compact(addrs), nil
 }
 
-// gather asks every process and names on stderr those that do not answer.
+// gather fetches the events of every process. It prints the processes that do not answer to stderr.
 func (c *timelineCommand) gather(ctx context.Context, client *operator.Client, addrs []netip.AddrPort, filter recorder.Filter) ([]merger.Log, error) {
 	logs := make([]merger.Log, len(addrs))
 	errs := make([]error, len(addrs))
 	var group errgroup.Group
-	group.SetLimit(gatherLimit)
+	group.SetLimit(maxConcurrentRequests)
 	for i, addr := range addrs {
 		group.Go(func() error {
 			logs[i], errs[i] = client.Gather(ctx, addr, filter)
--- a/tally/timelineevent.go
+++ b/tally/timelineevent.go
@@ -9,7 +9,7 @@
 
 // timelineEvent is one event as -json prints it.
 type timelineEvent struct {
-	At       time.Time // without the estimated skew
+	At       time.Time // the time on the clock of Process minus the estimated skew
 	OwnAt    time.Time // on the clock of Process
 	Process  string
 	Sequence uint64
--- a/tally/timelinereport.go
+++ b/tally/timelinereport.go
@@ -17,7 +17,7 @@
 	Events   []timelineEvent
 }
 
-// newTimelineReport includes the summary when job is not zero.
+// newTimelineReport returns the report of timeline. It includes the summary of job when job is not zero.
 func newTimelineReport(timeline merger.Timeline, job specifier.JobID) timelineReport {
 	report := timelineReport{Clocks: timeline.Clocks, Warnings: timeline.Warnings()}
 	if job != (specifier.JobID{}) {
--- a/tally/zone.go
+++ b/tally/zonecounts.go
@@ -6,13 +6,13 @@
 	"oleandertally/core/specifier"
 )
 
-// zone counts the members of one availability zone.
-type zone struct {
+// zoneCounts contains the totals over the members of one availability zone.
+type zoneCounts struct {
 	up, draining, down, slots, running, queued int
-	known                                      bool // some member's load is known
+	known                                      bool // whether the load of any member is known
 }
 
-func (z *zone) add(member specifier.Member, load specifier.Load, known bool) {
+func (z *zoneCounts) add(member specifier.Member, load specifier.Load, known bool) {
 	switch member.State {
 	case specifier.Up:
 		z.up++
@@ -27,7 +27,7 @@
 	z.queued += load.Queued
 }
 
-func (z *zone) cells() []string {
+func (z *zoneCounts) cells() []string {
 	running, queued := "-", "-"
 	if z.known {
 		running, queued = strconv.Itoa(z.running), strconv.Itoa(z.queued)
