--- a/core/merger/tasklinks.go
+++ b/core/merger/tasklinks.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// arrivals returns the events of one agent that show the arrival of a task: the task is queued, or is refused while
-// the agent does not have it.
+// arrivals returns the events of one agent that show the arrival of a task: its first event, each event that queues the
+// task, and each refusal while the agent does not have the task.
 func (f *linkFinder) arrivals(run []int) []int {
 	var arrived []int
 	hasTask := false
--- a/core/recorder/kind.go
+++ b/core/recorder/kind.go
@@ -16,7 +16,7 @@
 	TaskQueued   Kind = "TaskQueued"   // the agent accepted the task into its queue
 	TaskStarted  Kind = "TaskStarted"  // the agent called the upstream
 	TaskEnded    Kind = "TaskEnded"    // the upstream answered
-	TaskRefused  Kind = "TaskRefused"  // the agent refused the task and did not start it
+	TaskRefused  Kind = "TaskRefused"  // the agent refused the task: it did not start the task and will not
 	JobFenced    Kind = "JobFenced"    // the agent refuses lower epochs of the job from this event on
 
 	MemberDraining       Kind = "MemberDraining"       // this process finishes its work and accepts no new work
