--- a/core/recorder/filter.go
+++ b/core/recorder/filter.go
@@ -2,21 +2,21 @@
 
 import "oleandertally/core/specifier"
 
-// Filter selects events. The zero value of a field selects all.
+// Filter selects events. A field with the zero value does not restrict the selection.
 type Filter struct {
 	Job    specifier.JobID
-	Worker string // the process of the event, or its peer, by name or identity
+	Worker string // name or identity of the event's process or of its peer
 	Span   Span   // on the clock of each event's process
 }
 
-// Keeps reports whether the filter selects event.
-func (f Filter) Keeps(event Event) bool {
+// Matches reports whether the filter selects event.
+func (f Filter) Matches(event Event) bool {
 	if f.Job != (specifier.JobID{}) && event.Job != f.Job {
 		return false
 	}
-	return f.keepsWorker(event) && f.Span.Contains(event.At)
+	return f.matchesWorker(event) && f.Span.Contains(event.At)
 }
 
-func (f Filter) keepsWorker(event Event) bool {
-	return f.Worker == "" || Names(f.Worker, event.Process) || Names(f.Worker, event.Other)
+func (f Filter) matchesWorker(event Event) bool {
+	return f.Worker == "" || RefersTo(f.Worker, event.Process) || RefersTo(f.Worker, event.Other)
 }
--- a/core/recorder/answered_test.go
+++ b/core/recorder/parsedanswer_test.go
@@ -10,11 +10,11 @@
 
 func assertAnswered(t *testing.T, answer specifier.Answer) {
 	t.Helper()
-	want := Answered{Outcome: answer.Outcome, Reason: answer.Reason, Note: answer.Detail}
-	must.Eq(t, want, ParseAnswer(AnswerDetail(answer)))
+	want := ParsedAnswer{Outcome: answer.Outcome, Reason: answer.Reason, Detail: answer.Detail}
+	must.Eq(t, want, ParseAnswer(FormatAnswer(answer)))
 }
 
-// Guards against a writer and a reader of the answer's detail that disagree.
+// Guards against a ParseAnswer that does not read the format that FormatAnswer writes.
 func TestAnswerDetailRoundTrip(t *testing.T) {
 	t.Run("complete", func(t *testing.T) { assertAnswered(t, specifier.Answer{Outcome: specifier.Complete}) })
 	t.Run("reason", func(t *testing.T) { assertAnswered(t, specifier.Refuse(specifier.NoWorker, "")) })
--- a/core/verifier/contradiction.go
+++ b/core/verifier/contradiction.go
@@ -38,7 +38,7 @@
 
 // isUndecided reports whether a failure means only that this entry has no answer: another entry
 // may complete the job, or may have completed it.
-func isUndecided(a recorder.Answered) bool {
+func isUndecided(a recorder.ParsedAnswer) bool {
 	if a.Outcome != specifier.Failed {
 		return false
 	}
