--- a/core/exporter/agent.go
+++ b/core/exporter/agent.go
@@ -24,8 +24,8 @@
 	const role = "agent"
 	a := &Agent{
 		Member:   newMember(),
-		starts:   counter(role, "starts_total", "Tasks for which the upstream was called."),
-		failures: counter(role, "failures_total", "Started tasks that failed at the upstream."),
+		starts:   counter(role, "starts_total", "Tasks that the upstream was called for."),
+		failures: counter(role, "failures_total", "Started tasks that the upstream failed."),
 		refusals: counters(role, "refusals_total", "Tasks refused without a start, by cause.", "cause"),
 		slots:    gauge(role, "slots", "Tasks that the upstream runs at once; 0 while it is absent or drains."),
 		running:  gauge(role, "running_tasks", "Tasks that the upstream runs now."),
--- a/core/exporter/controller.go
+++ b/core/exporter/controller.go
@@ -36,7 +36,7 @@
 		sync:        histogram(role, "sync_seconds", "Time of a synced write of the log.", syncBuckets),
 		batch:       histogram(role, "batch_commands", "Commands that shared one log entry.", batchBuckets),
 		decisions:   counters(role, "decisions_total", "Decisions on commands, by verdict.", "verdict"),
-		submissions: gauge(role, "submissions", "Submissions that the controller stores."),
+		submissions: gauge(role, "submissions", "Submissions that are remembered."),
 		members:     gauges(role, "members", "Members, by role and state.", "role", "state"),
 	}
 	c.registry.MustRegister(c.leading, c.term, c.commit, c.applied, c.elections, c.sync, c.batch, c.decisions,
--- a/core/exporter/entry.go
+++ b/core/exporter/entry.go
@@ -36,7 +36,7 @@
 		assignments:   counter(role, "assignments_total", "Tasks sent to agents, repeats included."),
 		refused:       counter(role, "refused_assignments_total", "Assignments that an agent refused without a start."),
 		retries:       counter(role, "retries_total", "Tasks sent again after a refusal or a recorded loss."),
-		ejections:     counter(role, "ejections_total", "Times that a worker was ejected because its tasks failed."),
+		ejections:     counter(role, "ejections_total", "Times that a worker was taken out because its tasks failed."),
 		record:        histogram(role, "record_seconds", "Time from the proposal of a job to the decision of the controllers.", durationBuckets),
 	}
 	e.registry.MustRegister(e.requests, e.inTime, e.responseRatio, e.queue, e.wait, e.assignments, e.refused, e.retries,
--- a/core/exporter/queues.go
+++ b/core/exporter/queues.go
@@ -28,7 +28,7 @@
 		jobs:     histograms(subsystem, "job_seconds", "Time from the arrival of a job to its end, by outcome.", durationBuckets, "outcome"),
 	}
 	lines := prometheus.NewCounterFunc(prometheus.CounterOpts{Namespace: namespace, Subsystem: subsystem, Name: "log_lines_dropped_total",
-		Help: "Log lines that were dropped because their reader was too slow."}, func() float64 { return float64(dropped()) })
+		Help: "Log lines that nobody read in time."}, func() float64 { return float64(dropped()) })
 	q.registry.MustRegister(q.events, q.requests, q.jobs, lines)
 	q.registry.MustRegister(collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return q
