--- a/controller/server/cluster_test.go
+++ b/controller/server/cluster_test.go
@@ -107,7 +107,7 @@
 	c.running[i] = started
 }
 
-// kill ends a controller without a planned stop and returns the error of its Run.
+// kill ends a controller without a graceful shutdown and returns the error of its Run.
 func (c *cluster) kill(i int) error {
 	killed := c.running[i]
 	if killed == nil {
--- a/controller/server/controller.go
+++ b/controller/server/controller.go
@@ -62,7 +62,7 @@
 	Security       *authenticator.Authenticator
 	Metrics        *exporter.Controller
 	Health         *supervisor.Health // with Conditions
-	Events         *recorder.Buffer   // default a new buffer
+	Events         *recorder.Buffer   // default: a new buffer
 	Log            zerolog.Logger
 	Logged         func(dispatcher.LogEvent) // called for each decision on queues; must not block; may be nil
 
@@ -129,7 +129,7 @@
 	c.Events.SetProcess(specifier.Identity{Name: c.Name, Incarnation: specifier.Incarnation(rand.Uint64())}.String())
 	c.mailbox = looper.NewMailbox[driver.Event](mailboxSize)
 	c.registry = &registry{mailbox: c.mailbox, security: c.Security}
-	c.registry.last.Store(uint64(operatorStream))
+	c.registry.lastID.Store(uint64(operatorStream))
 	c.queues = &queues{mailbox: c.mailbox}
 	if c.Clock == nil {
 		c.Clock = time.Now
@@ -166,7 +166,7 @@
 	return errors.Wrapf(err, "controller: listen on %s", addr)
 }
 
-// Run serves until ctx ends or the controller fails. It calls Open unless that has been done.
+// Run serves until ctx ends or the controller fails. It calls Open first if the caller has not.
 func (c *Controller) Run(ctx context.Context) error {
 	if c.mailbox == nil {
 		if err := c.Open(); err != nil {
@@ -235,7 +235,8 @@
 	return machine, nil
 }
 
-// joinCluster starts the log, and then asks the other controllers for membership if there are any to ask.
+// joinCluster starts the log, and then asks the other controllers for membership. It does not ask if there are none, or if this
+// controller bootstraps a cluster whose members Peers lists: the others then ask it.
 func (c *Controller) joinCluster(ctx context.Context, self replicator.ServerID, pool *dialer.Pool) error {
 	server := replicator.Server{ID: self, Addr: c.Addr, Voter: true}
 	events := []replicator.Event{replicator.Started{}}
--- a/controller/server/disk.go
+++ b/controller/server/disk.go
@@ -203,8 +203,8 @@
 	return d.store.Save(meta, image.Encode)
 }
 
-// install makes the received snapshot the newest one. If there is none, a crash interrupted a Restore
-// after its snapshot was installed.
+// install makes the received snapshot the newest one. If no snapshot was received, the process crashed during a Restore after
+// it had installed the snapshot, and there is nothing left to install.
 func (d *disk) install() error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/controller/server/faults_test.go
+++ b/controller/server/faults_test.go
@@ -103,19 +103,19 @@
 	c.assertRevision(2)
 }
 
-// Guards against a planned stop that leaves the others without a leader.
+// Guards against a graceful shutdown of the leader that leaves the others without a leader.
 func TestTransferLeadership(t *testing.T) {
 	c := newCluster(t, 3).begin()
 	leader := c.leader()
 	must.NoError(t, c.running[leader].TransferLeadership(t.Context()))
 	must.NotEq(t, leader, c.leader())
-	t.Run("nobody to take it", func(t *testing.T) {
+	t.Run("no other voter", func(t *testing.T) {
 		alone := newCluster(t, 1).begin()
 		must.ErrorContains(t, alone.running[0].TransferLeadership(t.Context()), "still leads")
 	})
 }
 
-// Guards against a controller that starts on a damaged data folder and so forgets its votes or its log.
+// Guards against a controller that starts on a damaged data folder and so has lost its votes or its log.
 func TestFolderRefused(t *testing.T) {
 	assertRefused := func(t *testing.T, c *cluster, bootstrap bool, text string) {
 		t.Helper()
@@ -145,7 +145,7 @@
 		must.Positive(t, removed)
 	}
 	t.Run("bootstrap again", func(t *testing.T) { assertRefused(t, usedFolder(t), true, "not new") })
-	t.Run("nobody to join", func(t *testing.T) { assertRefused(t, newCluster(t, 1), false, "with -bootstrap") })
+	t.Run("no other controller to join", func(t *testing.T) { assertRefused(t, newCluster(t, 1), false, "with -bootstrap") })
 	t.Run("journal lost", func(t *testing.T) {
 		c := usedFolder(t)
 		remove(t, c, ".journal")
@@ -157,7 +157,7 @@
 		remove(t, c, ".snapshot")
 		assertRefused(t, c, false, "newest snapshot ends at 0")
 	})
-	t.Run("whole", func(t *testing.T) {
+	t.Run("undamaged", func(t *testing.T) {
 		c := usedFolder(t)
 		c.start(0, false)
 		c.assertAccepted(20)
@@ -179,7 +179,7 @@
 	must.Error(t, err)
 	must.ErrorIs(t, c.running[0].group.Wait(), journaler.ErrFailed)
 	must.True(t, errors.Is(c.running[0].group.Wait(), errDisk))
-	t.Run("the stop ends at once", func(t *testing.T) { // guards against a stop that waits for an answer of the control loop, which has ended
+	t.Run("the shutdown ends at once", func(t *testing.T) { // guards against a shutdown that waits for an answer of the control loop, which has ended
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 		defer cancel()
 		must.ErrorContains(t, c.running[0].TransferLeadership(ctx), "has ended")
--- a/controller/server/queues.go
+++ b/controller/server/queues.go
@@ -24,7 +24,7 @@
 	encoder.UnimplementedQueueKeeperServer
 
 	mailbox  *looper.Mailbox[driver.Event]
-	last     atomic.Uint64
+	lastID   atomic.Uint64 // of a stream
 	calls    streams[dispatcher.Stream, *encoder.QueueReplies]
 	sessions streams[dispatcher.Stream, *encoder.QueueOrder]
 
@@ -88,7 +88,7 @@
 
 // Call receives the calls of an entry and sends the replies.
 func (q *queues) Call(stream encoder.QueueKeeper_CallServer) error {
-	id := dispatcher.Stream(q.last.Add(1))
+	id := dispatcher.Stream(q.lastID.Add(1))
 	box := q.calls.open(id)
 	defer q.calls.close(id)
 	defer q.notifyClosed(dispatcher.CallerDisconnected{Stream: id})
@@ -121,7 +121,7 @@
 
 // Attend receives the reports of an agent and sends its orders.
 func (q *queues) Attend(stream encoder.QueueKeeper_AttendServer) error {
-	id := dispatcher.Stream(q.last.Add(1))
+	id := dispatcher.Stream(q.lastID.Add(1))
 	box := q.sessions.open(id)
 	defer q.sessions.close(id)
 	defer q.notifyClosed(dispatcher.AgentDisconnected{Stream: id})
--- a/controller/server/recovery.go
+++ b/controller/server/recovery.go
@@ -13,8 +13,8 @@
 	content []byte // of the newest snapshot; nil when there is none
 }
 
-// isNew reports whether the folder never took part in a cluster. A folder with term 1 alone is new too: a bootstrap that a
-// crash interrupted leaves it, and no leader has term 1.
+// isNew reports whether the folder never took part in a cluster. A folder that holds only term 1 is new too: an interrupted
+// bootstrap leaves such a folder, and no leader has term 1.
 func (r recovery) isNew() bool {
 	return r.log.State.Term <= 1 && len(r.log.Entries) == 0 && r.log.Snapshot.Index == 0
 }
--- a/controller/server/registry.go
+++ b/controller/server/registry.go
@@ -22,14 +22,14 @@
 
 	mailbox   *looper.Mailbox[driver.Event]
 	security  *authenticator.Authenticator
-	last      atomic.Uint64
+	lastID    atomic.Uint64 // of a stream
 	proposers streams[sequencer.Stream, *encoder.Verdict]
 	sessions  streams[sequencer.Stream, specifier.Update]
 }
 
 // Propose receives commands for the log and sends their decisions.
 func (r *registry) Propose(stream encoder.Registry_ProposeServer) error {
-	id := sequencer.Stream(r.last.Add(1))
+	id := sequencer.Stream(r.lastID.Add(1))
 	box := r.proposers.open(id)
 	defer r.proposers.close(id)
 	group, ctx := errgroup.WithContext(stream.Context())
@@ -77,7 +77,7 @@
 
 // Attend is the session of one member: it receives heartbeats, which renew the member's lease, and sends updates.
 func (r *registry) Attend(stream encoder.Registry_AttendServer) error {
-	id := sequencer.Stream(r.last.Add(1))
+	id := sequencer.Stream(r.lastID.Add(1))
 	box := r.sessions.open(id)
 	defer r.sessions.close(id)
 	defer r.notifyClosed(id)
--- a/controller/server/stop.go
+++ b/controller/server/stop.go
@@ -10,7 +10,7 @@
 	"oleandertally/core/supervisor"
 )
 
-// Steps returns the steps of a planned stop. Run must still serve while they run.
+// Steps returns the steps of a graceful shutdown. Run must still serve while they run.
 func (c *Controller) Steps() []supervisor.Step {
 	return []supervisor.Step{{Name: "HandOver", Run: c.TransferLeadership}}
 }
