--- a/replay/player/lease.go
+++ b/replay/player/lease.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// leaseTerm and renewInterval equal those of the leases that entries use. A lease is renewed after a third of its term.
-	leaseTerm     = 3 * time.Second
+	// leaseDuration and renewInterval equal those of the leases that entries use. A lease is renewed after a third of its duration.
+	leaseDuration = 3 * time.Second
 	renewInterval = time.Second
 )
 
@@ -18,7 +18,7 @@
 	if len(teams) == 0 || !p.variant.Leases {
 		return
 	}
-	lessor := &limiter.Lessor[int]{Slots: workers * slots, LeaseDuration: leaseTerm}
+	lessor := &limiter.Lessor[int]{Slots: workers * slots, LeaseDuration: leaseDuration}
 	lessor.SetTeams(teams)
 	for _, e := range p.entries {
 		// The renewals of the entries are spread evenly over the interval.
--- a/replay/player/scheduler.go
+++ b/replay/player/scheduler.go
@@ -11,7 +11,7 @@
 // Scheduler has the scheduler's methods that an entry's coordinator calls.
 type Scheduler interface {
 	SetMembers(now time.Time, members []specifier.Member) []scheduler.Assignment
-	SetConnected(now time.Time, id specifier.Identity, linked bool)
+	SetConnected(now time.Time, id specifier.Identity, connected bool)
 	Admit(now time.Time, job specifier.Job, profile specifier.Profile) *scheduler.Refusal
 	Enqueue(now time.Time, items []scheduler.Item)
 	Dispatch(now time.Time) []scheduler.Assignment
--- a/replay/reporter/summary.go
+++ b/replay/reporter/summary.go
@@ -85,9 +85,9 @@
 // Batch is the profile of the long jobs in the traces. They never count as short, even with few tasks.
 const Batch = "batch"
 
-// goodput returns the work answered in time over the smaller of demand and capacity. At or above capacity that is the
-// useful slot time in the window. Below capacity whole jobs that arrived in the window are counted, because there the part
-// of a run that lies outside the window does not matter.
+// goodput returns the work answered in time over the smaller of demand and capacity. If the demand is at least the capacity,
+// the work is the useful slot time in the goodput window. Below that, it is the work of the whole jobs that arrive in the window,
+// because the parts of their runs outside the window do not matter there.
 func goodput(trace tracer.Trace, report *player.Report) float64 {
 	start := trace.Length() / 6
 	if trace.Demand >= 1 {
@@ -107,15 +107,15 @@
 }
 
 // ejections counts the ejections of unhealthy workers and of healthy ones.
-func ejections(trace tracer.Trace, report *player.Report) (right, wrong int) {
+func ejections(trace tracer.Trace, report *player.Report) (correct, wrong int) {
 	for name, count := range report.Ejected {
 		if isUnhealthy(trace, name) {
-			right += count
+			correct += count
 		} else {
 			wrong += count
 		}
 	}
-	return right, wrong
+	return correct, wrong
 }
 
 // quantile returns the smallest value such that the given share of the values does not exceed it.
--- a/replay/tracer/generator.go
+++ b/replay/tracer/generator.go
@@ -24,7 +24,7 @@
 	return &Generator{random: rand.New(rand.NewPCG(seed, 11)), entries: entries}
 }
 
-// Arrivals returns jobs that arrive from from to until as a Poisson process of the given demand.
+// Arrivals returns the jobs that arrive between from and until, as a Poisson process of the given demand.
 func (g *Generator) Arrivals(from, until time.Duration, demand float64) []Job {
 	var jobs []Job
 	gap := meanWork / (Slots * demand)
