--- a/local/benchmarker/doc.go
+++ b/local/benchmarker/doc.go
@@ -1,2 +1,3 @@
-// Package benchmarker has the benchmarks from whose slopes docs/CAPACITY.md computes the capacity.
+// Package benchmarker holds benchmarks of entries, agents and messages at several sizes. docs/CAPACITY.md computes the
+// capacity from the slopes of their results.
 package benchmarker
--- a/local/benchmarker/entry_test.go
+++ b/local/benchmarker/entry_test.go
@@ -15,7 +15,7 @@
 // taskCount is the rounded mean number of tasks of a job of the mix.
 const taskCount = 8
 
-// jobInterval is the time between two jobs, since the scheduler sends an agent at most two tasks in 5 ms.
+// jobInterval is the time between two jobs. It is this long because the scheduler sends an agent at most two tasks in 5 ms.
 const jobInterval = 10 * time.Millisecond
 
 // runSizes runs a benchmark at several sizes.
--- a/local/deployer/stop_test.go
+++ b/local/deployer/stop_test.go
@@ -41,7 +41,7 @@
 	refused    []submitter.Result // answered NotRun because the entry stops
 	endedJobs  int
 	thirdEnded chan struct{}  // closed when a third of the jobs have ended
-	moved      sync.WaitGroup // callers that have not moved to the second entry
+	firstEntry sync.WaitGroup // callers that still use the first entry
 }
 
 func (b *burst) addProblem(format string, args ...any) {
@@ -62,8 +62,8 @@
 // stops, and then to the second. A load balancer would route them in the same way.
 func (b *burst) runCaller(ctx context.Context, number int) {
 	entry := 0
-	moveOn := sync.OnceFunc(func() { entry = 1; b.moved.Done() })
-	defer moveOn()
+	leaveFirst := sync.OnceFunc(func() { entry = 1; b.firstEntry.Done() })
+	defer leaveFirst()
 	for i := range jobsPerCaller {
 		job := tracer.Job{Team: "web", Profile: "hold", TimeLeftMillis: 20_000}
 		for task := range tasksPerJob {
@@ -74,7 +74,7 @@
 		result := b.sender.Submit(ctx, job, key)
 		if result.Err == nil && result.Response.Outcome == specifier.NotRun && result.Response.Reason == specifier.Stopping {
 			b.addRefused(result)
-			moveOn()
+			leaveFirst()
 			job.Entry = entry
 			result = b.sender.Submit(ctx, job, key+"-again")
 		}
@@ -145,7 +145,7 @@
 	for entry := range site.Entries {
 		awaitService(t, site, b.sender, entry)
 	}
-	b.moved.Add(callerCount)
+	b.firstEntry.Add(callerCount)
 	ctx, cancel := context.WithTimeout(t.Context(), 2*stopTimeout)
 	defer cancel()
 	var group errgroup.Group
@@ -189,13 +189,13 @@
 	must.Eq(t, (answers-1)*tasksPerJob+1, sums["oleandertally_entry_assignments_total"]-sums["oleandertally_entry_retries_total"])
 }
 
-// stopEntry closes the entry's listeners only after every caller has moved away, as behind a load balancer.
+// stopEntry closes the entry's listeners only after every caller has left the entry, as behind a load balancer.
 func stopEntry(ctx context.Context, t *testing.T, entry *process, b *burst) {
 	t.Helper()
 	for i, step := range entry.role.Steps() {
 		must.NoError(t, step.Run(ctx), must.Sprint(step.Name))
 		if i == 0 {
-			b.moved.Wait()
+			b.firstEntry.Wait()
 		}
 	}
 	entry.kill()
--- a/local/emulator/startlog.go
+++ b/local/emulator/startlog.go
@@ -41,7 +41,7 @@
 	return len(l.starts), repeated
 }
 
-// Of returns how often a task started.
+// StartsOf returns how often a task started.
 func (l *StartLog) StartsOf(job, task string) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/local/main.go
+++ b/local/main.go
@@ -21,7 +21,7 @@
 func main() {
 	replay := replayCommand{out: os.Stdout}
 	measure := measureCommand{out: os.Stdout}
-	measureMode := flag.Bool("measure", false, "measure the whole path")
+	measureMode := flag.Bool("measure", false, "measure the job mix of the design page at four demands")
 	flag.Uint64Var(&measure.seed, "seed", 1, "seed of the jobs (with -measure)")
 	flag.DurationVar(&measure.length, "length", 40*time.Second, "time in which jobs arrive (with -measure)")
 	flag.StringVar(&replay.jobs, "jobs", "examples/jobs/morning.jsonl", "recorded job `file` in JSON Lines")
--- a/local/report.go
+++ b/local/report.go
@@ -17,7 +17,7 @@
 	"oleandertally/replay/tracer"
 )
 
-// maxSlowest is the number of slow jobs that are listed.
+// maxSlowest is the maximum number of jobs in the list of the slowest.
 const maxSlowest = 5
 
 // report summarizes one replay.
--- a/local/simulator/fakeworker_test.go
+++ b/local/simulator/fakeworker_test.go
@@ -28,23 +28,23 @@
 
 // fakeWorker follows the documented worker protocol, for a worker that does not check its own capacity.
 type fakeWorker struct {
-	world        *world
-	name         string
-	up           bool
-	incarnation  int
-	startedAt    time.Time
-	clockRate    float64
-	announce     func()
-	sequence     uint64
-	token        uint64
-	leaseEnd     time.Duration  // on the worker's clock
-	leaseLapses  int            // number of times that the lease expired
-	lapsesAtEnd  map[uint64]int // leaseLapses when each run ended, by number of the end
-	runs         map[specifier.RunKey]*workerRun
-	highestEnded map[string]uint64  // highest stopped or ended run of each task
-	ends         []specifier.RunEnd // not yet acknowledged
-	lastEnd      uint64
-	waitingPolls []func() // answer the polls that wait for a run to end
+	world         *world
+	name          string
+	up            bool
+	incarnation   int
+	startedAt     time.Time
+	clockRate     float64
+	announce      func()
+	sequence      uint64
+	token         uint64
+	leaseEnd      time.Duration  // on the worker's clock
+	expiries      int            // how often the lease has expired
+	expiriesAtEnd map[uint64]int // expiries when each run ended, by number of the end
+	runs          map[specifier.RunKey]*workerRun
+	highestEnded  map[string]uint64  // highest stopped or ended run of each task
+	ends          []specifier.RunEnd // not yet acknowledged
+	lastEnd       uint64
+	waitingPolls  []func() // answer the polls that wait for a run to end
 }
 
 func newFakeWorker(w *world, name string) *fakeWorker {
@@ -57,7 +57,7 @@
 	f.up, f.startedAt, f.clockRate = true, f.world.now, 0.98+0.02*f.world.random.Float64()
 	f.incarnation++
 	f.token, f.leaseEnd, f.lastEnd, f.sequence = 0, 0, 0, 0
-	f.leaseLapses, f.lapsesAtEnd = 0, make(map[uint64]int)
+	f.expiries, f.expiriesAtEnd = 0, make(map[uint64]int)
 	f.runs, f.highestEnded, f.ends, f.waitingPolls = make(map[specifier.RunKey]*workerRun), make(map[string]uint64), nil, nil
 	f.world.after(f.world.randomDuration(0, 200*time.Millisecond), func() { f.announce() })
 }
@@ -144,7 +144,7 @@
 	incarnation := f.incarnation
 	f.world.after(time.Duration(float64(until-f.clock())/f.clockRate)+time.Microsecond, func() {
 		if f.incarnation == incarnation && f.up && f.clock() >= f.leaseEnd {
-			f.leaseLapses++
+			f.expiries++
 			for _, run := range f.runs {
 				f.end(run, specifier.EndLeaseExpired)
 			}
@@ -161,7 +161,7 @@
 	f.highestEnded[run.key.Task] = max(f.highestEnded[run.key.Task], run.key.Run)
 	f.lastEnd++
 	f.ends = append(f.ends, specifier.RunEnd{Number: f.lastEnd, Key: run.key, Kind: kind})
-	f.lapsesAtEnd[f.lastEnd] = f.leaseLapses
+	f.expiriesAtEnd[f.lastEnd] = f.expiries
 	f.world.logf("%s: run %v ended %v", f.name, run.key, kind)
 	for _, wake := range f.waitingPolls {
 		wake()
@@ -284,7 +284,7 @@
 		end := f.ends[0]
 		f.ends = f.ends[1:]
 		id, _, _ := strings.Cut(end.Key.Task, ".")
-		if end.Kind == specifier.EndDone && f.world.isRecorded(id) && f.lapsesAtEnd[end.Number] == f.leaseLapses {
+		if end.Kind == specifier.EndDone && f.world.isRecorded(id) && f.expiriesAtEnd[end.Number] == f.expiries {
 			f.world.acknowledged[end.Key.Task] = true
 		}
 	}
--- a/local/transcriber/members.go
+++ b/local/transcriber/members.go
@@ -31,7 +31,7 @@
 	s.after(s.site.Hop, func() { s.publish(); s.connectAll(a, nil) })
 }
 
-// publish sends the membership and the configuration to every entry, and its drain state to every agent.
+// publish sends the membership and the configuration to every entry, and to every agent its drain state.
 func (s *Session) publish() {
 	for _, e := range s.entries {
 		if e.alive {
@@ -51,7 +51,6 @@
 	for _, e := range s.entries {
 		for _, a := range s.agents {
 			if e.alive && a.alive && (a == agent || e == entry) {
-
 				s.stepAgent(a, executor.Connected{Entry: e.id, Stream: uint64(e.id.Incarnation)})
 				s.stepEntry(e, coordinator.AgentConnected{Agent: a.id})
 			}
--- a/local/transcriber/session.go
+++ b/local/transcriber/session.go
@@ -26,7 +26,7 @@
 	site              Site
 	now               time.Time
 	timers            container.Heap[timer]
-	lastNumber        uint64 // of the numbers for timers, waiters and incarnations
+	lastNumber        uint64 // last number given to a timer, waiter or incarnation
 	state             *registrar.Registrar
 	publishedVersion  uint64
 	publishedRevision specifier.Revision
