--- a/core/authenticator/certificates.go
+++ b/core/authenticator/certificates.go
@@ -38,8 +38,8 @@
 	return err
 }
 
-// latest returns the current content. It first reads the files again after reloadInterval. Only one
-// handshake at a time does so; concurrent ones use the previous content.
+// latest returns the current content. If reloadInterval has passed since the last read, it first reads the
+// files again. Only one handshake at a time does so; concurrent ones use the previous content.
 func (c *certificates) latest() *material {
 	if c.mutex.TryLock() {
 		defer c.mutex.Unlock()
--- a/core/configurator/deployment_test.go
+++ b/core/configurator/deployment_test.go
@@ -59,7 +59,7 @@
 	// Guards against mistakes in a profile file that are accepted, or reported without their place.
 	cases := []struct{ name, text, expected string }{
 		{"range", "Profiles:\n  - {Name: a, Service: s, Priority: 10}", "2: Profiles[0].Priority: 10, expected 0 to 9"},
-		{"written zero", "Profiles:\n  - {Name: a, Service: s, RetryBudget: 0}", "2: Profiles[0].RetryBudget: 0 means the default; leave the key out instead"},
+		{"explicit zero", "Profiles:\n  - {Name: a, Service: s, RetryBudget: 0}", "2: Profiles[0].RetryBudget: 0 means the default; leave the key out instead"},
 		{"unit", "Profiles:\n  - {Name: a, Service: s, TypicalTime: 200}", `2: Profiles[0].TypicalTime: expected a duration with its unit, such as "3s" or "250ms", got "200"`},
 		{"duplicate", "Teams:\n  - Name: a\n  - Name: a", `3: Teams[1].Name: "a" is already used by Teams[0]`},
 		{"nothing", "Teams: []", "1: Profiles: missing, expected at least one profile or team"},
--- a/core/configurator/deploymentcheck.go
+++ b/core/configurator/deploymentcheck.go
@@ -10,7 +10,7 @@
 type deploymentCheck struct {
 	checker   checker                               // of the deployment
 	security  SecuritySettings                      // of the deployment
-	inherited struct{ used, teams, operators bool } // whether a process inherits Security, and needs which of its lists
+	inherited struct{ used, teams, operators bool } // whether a process inherits Security, and which of its lists such processes need
 	used      listeners                             // of the processes checked so far
 	names     map[string]string                     // path of the process that has each name
 }
--- a/core/configurator/reader_test.go
+++ b/core/configurator/reader_test.go
@@ -143,7 +143,7 @@
 		{"set twice", "Rack: rack-1", "Rack: rack-1\nRack: rack-2", "4: Rack: set twice, first in line 3"},
 		{"name", "agent-1", `"agent 1"`, `1: Name: "agent 1", expected letters, digits, '-', '_' and '.' only`},
 		{"number for text", "rack-1", "7", "3: Rack: expected text; put a number or a word with a meaning in YAML in quotes"},
-		{"text for a truth", "{Insecure: true}", "{Insecure: sometimes}", `9: Security.Insecure: expected true or false, got "sometimes"`},
+		{"text for a boolean", "{Insecure: true}", "{Insecure: sometimes}", `9: Security.Insecure: expected true or false, got "sometimes"`},
 		{"block for text", "reservas", "{A: 1}", "4: Service: expected text; put a number or a word with a meaning in YAML in quotes"},
 		{"text for a block", "{Insecure: true}", "none", "9: Security: expected keys and values"},
 		{"text for a list", "[10.0.0.9:7101]", "10.0.0.9:7101", "8: Controllers: expected a list"},
--- a/core/dialer/pool.go
+++ b/core/dialer/pool.go
@@ -45,13 +45,13 @@
 }
 
 func (p *Pool) options() []grpc.DialOption {
-	bound := p.MaxMessage
-	if bound == 0 {
-		bound = encoder.MaxMessage
+	maxMessage := p.MaxMessage
+	if maxMessage == 0 {
+		maxMessage = encoder.MaxMessage
 	}
 	options := []grpc.DialOption{
 		grpc.WithTransportCredentials(p.Credentials),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(bound), grpc.MaxCallSendMsgSize(bound)),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessage), grpc.MaxCallSendMsgSize(maxMessage)),
 		// With gRPC's default maximum of two minutes, a process would stay disconnected long after its
 		// peer has recovered.
 		grpc.WithConnectParams(grpc.ConnectParams{
--- a/core/supervisor/supervisor_test.go
+++ b/core/supervisor/supervisor_test.go
@@ -75,7 +75,7 @@
 		// Guards against steps that run out of order or after the parts have stopped.
 		synctest.Test(t, func(t *testing.T) {
 			f := newFixture("Refuse", "Drain")
-			f.Steps = append(f.Steps, Step{"Look", func(context.Context) error {
+			f.Steps = append(f.Steps, Step{"Inspect", func(context.Context) error {
 				must.Eq(t, []string{"Loop"}, f.Group.Running())
 				must.Eq(t, []string{"shutting down"}, f.Health.Unmet())
 				return nil
