--- a/entry/connector/asker.go
+++ b/entry/connector/asker.go
@@ -11,8 +11,8 @@
 	"oleandertally/entry/coordinator"
 )
 
-// askTimeout is how long one request to another entry may wait. The coordinator then proposes the job again and may ask again.
-const askTimeout = 30 * time.Second
+// requestTimeout is how long one request to another entry may wait. The coordinator then proposes the job again and may ask again.
+const requestTimeout = 30 * time.Second
 
 // Asker requests the answers of jobs from the entries that own them. Fields are set before use.
 type Asker struct {
@@ -41,7 +41,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(a.Ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(a.Ctx, requestTimeout)
 	defer cancel()
 	return encoder.NewPeerClient(conn).Await(ctx, &encoder.AwaitRequest{Job: question.Job[:], Digest: question.Digest[:],
 		Incarnation: uint64(question.Owner.Incarnation), Cancel: question.Cancel})
