--- a/local/measurecommand.go
+++ b/local/measurecommand.go
@@ -149,8 +149,8 @@
 		violations += len(m.report.violations)
 	}
 	table.Flush()
-	fmt.Fprintln(c.out, "\nmessages, over the minimum of 2 for each task and 4 for each job")
-	fmt.Fprintln(table, "DEMAND\tMINIMUM\tMESSAGES\tRATIO\tITEMS\tRATIO\tBYTES A TASK TO AND FROM AGENTS\tBYTES A JOB TO AND FROM CONTROLLERS")
+	fmt.Fprintln(c.out, "\nmessages, over the least of 2 for each task and 4 for each job")
+	fmt.Fprintln(table, "DEMAND\tLEAST\tMESSAGES\tRATIO\tITEMS\tRATIO\tBYTES A TASK TO AND FROM AGENTS\tBYTES A JOB TO AND FROM CONTROLLERS")
 	for _, m := range all {
 		sum, minimum := m.messages(), m.minMessages()
 		fmt.Fprintf(table, "%s\t%d\t%d\t%.3f\t%d\t%.3f\t%d\t%d\n", m.demand, minimum, sum.Messages, float64(sum.Messages)/float64(minimum),
@@ -161,7 +161,7 @@
 		fmt.Fprintf(c.out, "\n%s\n", m.demand)
 		m.printFlows(c.out)
 		for _, line := range m.report.violations {
-			fmt.Fprintln(c.out, "violated: "+line)
+			fmt.Fprintln(c.out, "broken: "+line)
 		}
 	}
 	return violations
--- a/local/report.go
+++ b/local/report.go
@@ -78,7 +78,7 @@
 // check verifies the guarantees against the upstreams' log of starts and the recorded events.
 func (r *report) check(events []recorder.Event, dropped int, starts *emulator.StartLog) {
 	if dropped > 0 {
-		r.violations = append(r.violations, fmt.Sprintf("%d events were dropped, so the guarantees could not be checked", dropped))
+		r.violations = append(r.violations, fmt.Sprintf("%d events were dropped, so the promises could not be checked", dropped))
 	}
 	if _, repeated := starts.Count(); repeated > 0 {
 		r.violations = append(r.violations, fmt.Sprintf("%d tasks started more than once", repeated))
@@ -120,10 +120,10 @@
 	}
 	r.printSlowest(out)
 	if len(r.violations) == 0 {
-		fmt.Fprintln(out, "\nevery guarantee held")
+		fmt.Fprintln(out, "\nevery promise held")
 		return
 	}
-	fmt.Fprintf(out, "\n%d violations of the guarantees:\n", len(r.violations))
+	fmt.Fprintf(out, "\n%d promises broken:\n", len(r.violations))
 	for _, line := range r.violations {
 		fmt.Fprintln(out, "  "+line)
 	}
