--- a/entry/coordinator/path_test.go
+++ b/entry/coordinator/path_test.go
@@ -67,9 +67,9 @@
 	c.mustKeepGuarantees()
 }
 
-// TestReportDoesNotJudgeLaterAssignments guards against a second start when an agent's report crosses an assignment:
+// TestReportDoesNotCoverLaterAssignments guards against a second start when an agent's report crosses an assignment:
 // the report does not cover a task that was sent after the fence (found by seed 149).
-func TestReportDoesNotJudgeLaterAssignments(t *testing.T) {
+func TestReportDoesNotCoverLaterAssignments(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	e := c.entries[0]
 	job := newJob(0, 6) // more tasks than slots, so that some wait at the entry
