--- a/entry/coordinator/path_test.go
+++ b/entry/coordinator/path_test.go
@@ -150,8 +150,8 @@
 	c.mustKeepGuarantees()
 }
 
-// TestRefusalAsksTheRecord guards against a NotRun answer for a key whose job runs at another entry.
-func TestRefusalAsksTheRecord(t *testing.T) {
+// TestRefusalChecksTheRecord guards against a NotRun answer for a key whose job runs at another entry.
+func TestRefusalChecksTheRecord(t *testing.T) {
 	c := newCluster(t, 2, 2)
 	job := newJob(0, 1)
 	first := c.submit(c.entries[0], job)
