--- a/entry/coordinator/path_test.go
+++ b/entry/coordinator/path_test.go
@@ -164,9 +164,9 @@
 	c.mustKeepGuarantees()
 }
 
-// TestRefusalHoldsForCopiesOnTheirWay guards against running a delayed copy of a request after another copy was
+// TestRefusalCoversCopiesInTransit guards against running a delayed copy of a request after another copy was
 // refused.
-func TestRefusalHoldsForCopiesOnTheirWay(t *testing.T) {
+func TestRefusalCoversCopiesInTransit(t *testing.T) {
 	c := newCluster(t, 2, 2)
 	job := newJob(0, 1)
 	late := c.submit(c.entries[0], job) // proposed but not decided
