--- a/entry/coordinator/path_test.go
+++ b/entry/coordinator/path_test.go
@@ -86,9 +86,9 @@
 	c.mustKeepGuarantees()
 }
 
-// TestUnnoticedTakeOverIsCollected guards against a new run under the epoch of a takeover whose decision was lost: the
+// TestUndetectedTakeoverIsCollected guards against a new run under the epoch of a takeover whose decision was lost: the
 // tasks may have started under the former owner (found by seed 2139).
-func TestUnnoticedTakeOverIsCollected(t *testing.T) {
+func TestUndetectedTakeoverIsCollected(t *testing.T) {
 	c := newCluster(t, 2, 2)
 	job := newJob(0, 2)
 	c.submit(c.entries[0], job)
