--- a/agent/leaseholder/leaseholder_test.go
+++ b/agent/leaseholder/leaseholder_test.go
@@ -84,7 +84,7 @@
 	must.LessEq(t, 300*time.Millisecond, left)
 }
 
-func TestStartsThatAreRefusedHere(t *testing.T) {
+func TestStartsRefusedByTheAgent(t *testing.T) {
 	t.Run("after the grant", func(t *testing.T) { // guards against a start for a controller that may have lost its leadership
 		f := newFixture(t)
 		f.now = f.now.Add(1300 * time.Millisecond)
