--- a/entry/coordinator/schedule_test.go
+++ b/entry/coordinator/schedule_test.go
@@ -11,11 +11,11 @@
 
 var schedules = flag.Int("schedules", 2000, "random schedules to run")
 
-// TestPromisesHoldUnderFaults guards against a task that starts twice, a false NotRun, a partial or second answer, and
+// TestGuaranteesHoldUnderFaults guards against a task that starts twice, a false NotRun, a partial or second answer, and
 // a caller without an answer when, at any step, messages are lost or delayed, streams break, and processes are killed
 // or recorded as Down.
-// A longer run: go test ./entry/coordinator -run TestPromisesHold -schedules 100000
-func TestPromisesHoldUnderFaults(t *testing.T) {
+// A longer run: go test ./entry/coordinator -run TestGuaranteesHold -schedules 100000
+func TestGuaranteesHoldUnderFaults(t *testing.T) {
 	for seed := range uint64(*schedules) {
 		if !runSchedule(t, seed) {
 			t.Fatalf("seed %d", seed)
