--- a/state/registrar/property_test.go
+++ b/state/registrar/property_test.go
@@ -168,7 +168,7 @@
 // Guards against a decision that contradicts an earlier one: two owners in one epoch, an epoch that
 // decreases, an answer that changes, a submission that expires early, a request that is applied
 // twice, a revision that decreases.
-func TestPromisesHold(t *testing.T) {
+func TestGuaranteesHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := &decisionHistory{registrar: New(3), jobs: map[specifier.JobID]*guarantees{}, appliedAt: map[string]time.Time{}}
 		for i, batch := range drawBatches(t) {
