--- a/state/replicator/promise_test.go
+++ b/state/replicator/guarantee_test.go
@@ -18,7 +18,7 @@
 }
 
 // Guards against a follower that votes while a leader's lease relies on it not to, and against a vote that a crash revokes.
-func TestFollowerKeepsItsPromise(t *testing.T) {
+func TestFollowerKeepsItsGuarantee(t *testing.T) {
 	t.Run("no vote within an election timeout of a heartbeat", func(t *testing.T) {
 		c, leader := startCluster(t, 3)
 		assertVote(t, c, others(c, leader)[0], RequestVote{}, false)
