--- a/agent/executor/executor.go
+++ b/agent/executor/executor.go
@@ -22,7 +22,7 @@
 	jobs          map[specifier.JobID]*jobRecord
 	queue         orderer.Queue
 	classifier    classifier.Classifier
-	loadReporter  orderer.Reporter[specifier.Identity]
+	loadReporter  orderer.LoadReporter[specifier.Identity]
 	profiles      map[string]specifier.Profile
 	expiries      container.Heap[expiry]
 	streams       map[specifier.Identity]uint64
--- a/dispatch/orderer/doc.go
+++ b/dispatch/orderer/doc.go
@@ -1,3 +1,3 @@
 // Package orderer decides the order in which entries and agents start tasks. Key is the position of a task in this order,
-// Queue starts the tasks of an agent, and Reporter decides when the agent reports its load to an entry.
+// Queue starts the tasks of an agent, and LoadReporter decides when the agent reports its load to an entry.
 package orderer
--- a/dispatch/orderer/reporter.go
+++ b/dispatch/orderer/loadreporter.go
@@ -6,10 +6,10 @@
 	"oleandertally/core/specifier"
 )
 
-// Reporter decides when an agent sends its load to an entry outside a response. Each response contains the load, so
+// LoadReporter decides when an agent sends its load to an entry outside a response. Each response contains the load, so
 // only an entry without a recent response can have an outdated view of the agent. ID identifies an entry. The zero value
-// is ready to use. A Reporter is not safe for concurrent use.
-type Reporter[ID comparable] struct {
+// is ready to use. A LoadReporter is not safe for concurrent use.
+type LoadReporter[ID comparable] struct {
 	entries    []lastReport[ID]
 	unpaid     float64   // reports sent beyond the credit from ended tasks and elapsed time
 	creditedAt time.Time // time up to which elapsed time has been credited
@@ -38,13 +38,13 @@
 )
 
 // Add adds an entry that has connected to the agent and was sent the load.
-func (r *Reporter[ID]) Add(now time.Time, id ID, load specifier.Load) {
+func (r *LoadReporter[ID]) Add(now time.Time, id ID, load specifier.Load) {
 	r.Remove(id)
 	r.entries = append(r.entries, lastReport[ID]{id: id, load: load, at: now})
 }
 
 // Remove removes an entry that has disconnected.
-func (r *Reporter[ID]) Remove(id ID) {
+func (r *LoadReporter[ID]) Remove(id ID) {
 	for i, each := range r.entries {
 		if each.id == id {
 			r.entries = append(r.entries[:i], r.entries[i+1:]...)
@@ -54,7 +54,7 @@
 }
 
 // ReportSent records that a message with the load was sent to an entry.
-func (r *Reporter[ID]) ReportSent(now time.Time, id ID, load specifier.Load) {
+func (r *LoadReporter[ID]) ReportSent(now time.Time, id ID, load specifier.Load) {
 	for i := range r.entries {
 		if r.entries[i].id == id {
 			r.entries[i].load, r.entries[i].at = load, now
@@ -63,11 +63,11 @@
 }
 
 // TaskEnded adds the credit of one ended task.
-func (r *Reporter[ID]) TaskEnded() { r.unpaid = max(r.unpaid-reportsPerTask, 0) }
+func (r *LoadReporter[ID]) TaskEnded() { r.unpaid = max(r.unpaid-reportsPerTask, 0) }
 
 // Due returns the entries to which the load must be sent now, as far as the budget allows, starting with the entry whose
 // last report is oldest. The agent must send the reports, which are recorded as sent.
-func (r *Reporter[ID]) Due(now time.Time, load specifier.Load) []ID {
+func (r *LoadReporter[ID]) Due(now time.Time, load specifier.Load) []ID {
 	var due []ID
 	r.unpaid = max(r.unpaid-reportsPerSecond*now.Sub(r.creditedAt).Seconds(), 0)
 	r.creditedAt = now
@@ -89,7 +89,7 @@
 }
 
 // Next returns the earliest time at which Due returns an entry because quietDelay has passed, or the zero time.
-func (r *Reporter[ID]) Next(load specifier.Load) time.Time {
+func (r *LoadReporter[ID]) Next(load specifier.Load) time.Time {
 	var next time.Time
 	if r.unpaid > maxReportBurst-1 {
 		return next
--- a/replay/player/agent.go
+++ b/replay/player/agent.go
@@ -18,7 +18,7 @@
 	zone       int
 	queue      orderer.Queue
 	owners     map[specifier.TaskKey]*entry // which entry sent each task
-	reporter   orderer.Reporter[int]        // by index of the entry
+	reporter   orderer.LoadReporter[int]    // by index of the entry
 	classifier classifier.Classifier
 	pushCount  int
 	down       bool
