--- a/core/merger/linkfinder.go
+++ b/core/merger/linkfinder.go
@@ -11,9 +11,9 @@
 // linkFinder finds the links between events of different processes. The events are sorted by process and sequence
 // number. Events of one process need no links, because their sequence numbers order them.
 //
-// A link is only added when it is correct whichever messages were lost. Messages can be lost and sent again, so the
-// n-th event that a message caused comes after at least n sends. More receipts than sends mean that events are
-// missing, and then no link is added.
+// A link is added only if it is correct no matter which messages were lost. Messages can be lost and sent again, and the
+// events do not show which send arrived, but at least n sends precede the n-th receipt. The n-th receipt is therefore
+// linked to the n-th send. More receipts than sends mean that events are missing, and then no link is added.
 type linkFinder struct {
 	events   []recorder.Event
 	subjects map[subject][]int
@@ -92,14 +92,14 @@
 
 // byProcessAndEpoch groups events by process and epoch. The groups are sorted by their first event.
 func (f *linkFinder) byProcessAndEpoch(indexes []int) [][]int {
-	type run struct {
+	type key struct {
 		process string
 		epoch   specifier.Epoch
 	}
-	runs := make(map[run][]int)
+	groups := make(map[key][]int)
 	for _, i := range indexes {
-		r := run{process: f.events[i].Process, epoch: f.events[i].Epoch}
-		runs[r] = append(runs[r], i)
+		k := key{process: f.events[i].Process, epoch: f.events[i].Epoch}
+		groups[k] = append(groups[k], i)
 	}
-	return slices.SortedFunc(maps.Values(runs), func(a, b []int) int { return a[0] - b[0] })
+	return slices.SortedFunc(maps.Values(groups), func(a, b []int) int { return a[0] - b[0] })
 }
--- a/core/merger/merge_test.go
+++ b/core/merger/merge_test.go
@@ -20,8 +20,8 @@
 	sequence uint64
 }
 
-// assertRespects checks that every cause comes before its effect.
-func assertRespects(t must.T, timeline Timeline, causes []cause) {
+// assertCausalOrder checks that every cause comes before its effect.
+func assertCausalOrder(t must.T, timeline Timeline, causes []cause) {
 	t.Helper()
 	position := make(map[eventID]int)
 	for i, entry := range timeline.Entries {
@@ -145,15 +145,15 @@
 	t.Run("constant skews", rapid.MakeCheck(func(t *rapid.T) {
 		w := randomWorld(t)
 		timeline := Merge(w.logs(0, false))
-		assertRespects(t, timeline, w.causes)
+		assertCausalOrder(t, timeline, w.causes)
 		must.Eq(t, 0, timeline.ViolatedLinks)
 		must.True(t, timeline.Consistent)
 		assertBounds(t, timeline, w, w.skew[timeline.Clocks[0].Process])
 	}))
-	t.Run("timed gathering", rapid.MakeCheck(func(t *rapid.T) {
+	t.Run("logs with request times", rapid.MakeCheck(func(t *rapid.T) {
 		w := randomWorld(t)
 		timeline := Merge(w.logs(60_000, true))
-		assertRespects(t, timeline, w.causes)
+		assertCausalOrder(t, timeline, w.causes)
 		assertBounds(t, timeline, w, 0)
 		for _, clock := range timeline.Clocks {
 			must.LessEq(t, 2*time.Millisecond, clock.MaxSkew-clock.MinSkew, must.Sprint("the exchange bounds the skew"))
@@ -171,7 +171,7 @@
 				w.events[p] = append(w.events[p], event)
 			}
 		}
-		assertRespects(t, Merge(w.logs(0, false)), w.causes)
+		assertCausalOrder(t, Merge(w.logs(0, false)), w.causes)
 	}))
 }
 
--- a/core/merger/render_test.go
+++ b/core/merger/render_test.go
@@ -192,7 +192,7 @@
 		assertPhase(t, summary, EntryWait, 895*time.Millisecond, Cut)
 		assertPhase(t, summary, AnswerTime, 0, Skipped)
 	})
-	t.Run("a job that runs still", func(t *testing.T) {
+	t.Run("a job that is still running", func(t *testing.T) {
 		summary := Summarize(takenOver(), cutPlan)
 		must.False(t, summary.Answered)
 		must.Eq(t, entryB, summary.Owner)
--- a/core/merger/skewestimator.go
+++ b/core/merger/skewestimator.go
@@ -66,8 +66,9 @@
 	return clocks, ok
 }
 
-// chooseSkews returns skews that satisfy all bounds together. The middle of two bounds does. Processes with at most one
-// bound are fixed first, one after the other, because each choice narrows the bounds of the others.
+// chooseSkews returns skews that satisfy all bounds together. The maximum skews satisfy them, and so do the minimum skews
+// and the middles between both. The clocks that lack a minimum or a maximum are fixed first, one after the other,
+// because each choice narrows the ranges of the others.
 func (s *skewEstimator) chooseSkews(reference int, bounds []bound) []time.Duration {
 	bounds = slices.Clone(bounds)
 	chosen := make([]time.Duration, len(s.processes))
--- a/core/merger/summary.go
+++ b/core/merger/summary.go
@@ -13,13 +13,13 @@
 // returned last.
 type Summary struct {
 	Job      specifier.JobID
-	Owner    string // the process that the phases describe
-	Task     string // empty when no task was assigned
-	Tasks    int    // number of distinct tasks in the events
-	Total    time.Duration
+	Owner    string        // the process that the phases describe
+	Task     string        // empty when no task was assigned
+	Tasks    int           // number of distinct tasks in the events
+	Total    time.Duration // from the submission to the answer, or to the owner's last event when Answered is false
 	Answered bool
 	Phases   []Phase
-	Answers  []Entry
+	Answers  []Entry   // the JobAnswered events of all processes
 	Refusals []Refusal // by agents, in order of appearance
 	Epochs   []Entry   // the JobAccepted and JobTaken events, by epoch
 }
--- a/core/merger/tasklinks.go
+++ b/core/merger/tasklinks.go
@@ -9,21 +9,21 @@
 func (f *linkFinder) linkAssignments(key specifier.TaskKey) {
 	assigned := f.eventsOf(key, recorder.TaskAssigned)
 	atAgent := f.eventsOf(key, recorder.TaskQueued, recorder.TaskStarted, recorder.TaskEnded, recorder.TaskRefused)
-	for _, run := range f.byProcessAndEpoch(atAgent) {
-		agent := f.events[run[0]]
+	for _, group := range f.byProcessAndEpoch(atAgent) {
+		agent := f.events[group[0]]
 		sent := f.filter(assigned, func(e recorder.Event) bool {
 			return e.Epoch == agent.Epoch && recorder.RefersTo(e.Other, agent.Process)
 		})
-		f.pair(sent, f.arrivals(run))
+		f.pair(sent, f.arrivals(group))
 	}
 }
 
-// arrivals returns the events of one agent that show the arrival of a task: its first event, each event that queues the
-// task, and each refusal while the agent does not have the task.
-func (f *linkFinder) arrivals(run []int) []int {
+// arrivals returns the events that show the arrival of a task, from the events of one agent and epoch: the first event,
+// each event that queues the task, and each refusal while the agent does not have the task.
+func (f *linkFinder) arrivals(group []int) []int {
 	var arrived []int
 	hasTask := false
-	for n, i := range run {
+	for n, i := range group {
 		isRefused := f.events[i].Kind == recorder.TaskRefused
 		if n == 0 || f.events[i].Kind == recorder.TaskQueued || isRefused && !hasTask {
 			arrived = append(arrived, i)
@@ -38,10 +38,10 @@
 // that took the job over also receives the results of earlier epochs.
 func (f *linkFinder) linkReturns(key specifier.TaskKey) {
 	ended, refused := f.eventsOf(key, recorder.TaskEnded), f.eventsOf(key, recorder.TaskRefused)
-	for _, run := range f.byProcessAndEpoch(f.eventsOf(key, recorder.TaskReturned)) {
-		results := f.filter(run, func(e recorder.Event) bool { return !recorder.IsRefusal(e) })
+	for _, group := range f.byProcessAndEpoch(f.eventsOf(key, recorder.TaskReturned)) {
+		results := f.filter(group, func(e recorder.Event) bool { return !recorder.IsRefusal(e) })
 		f.linkReplies(ended, results)
-		f.linkRefusals(refused, f.filter(run, recorder.IsRefusal))
+		f.linkRefusals(refused, f.filter(group, recorder.IsRefusal))
 		f.linkResultAfterTakeover(ended, results)
 	}
 }
--- a/core/merger/world_test.go
+++ b/core/merger/world_test.go
@@ -90,9 +90,9 @@
 	return 1
 }
 
-// process returns the text of an identity: the name and the incarnation run.
-func process(name string, run int) string {
-	return specifier.Identity{Name: name, Incarnation: specifier.Incarnation(run)}.String()
+// process returns the text of an identity.
+func process(name string, incarnation int) string {
+	return specifier.Identity{Name: name, Incarnation: specifier.Incarnation(incarnation)}.String()
 }
 
 // run records a task from assignment to return. times are the milliseconds from each step to the next.
