--- a/core/recorder/event.go
+++ b/core/recorder/event.go
@@ -9,7 +9,7 @@
 // Event is one event of the time line, as its process recorded it.
 type Event struct {
 	At       time.Time // on the clock of Process; clocks of different hosts differ
-	Process  string    // specifier.Identity.String() with the incarnation, so that a restarted process is a process of its own
+	Process  string    // specifier.Identity.String() with the incarnation, so that a restarted process counts as a new one
 	Sequence uint64    // number of the event within Process, from 1
 	Kind     Kind
 	Job      specifier.JobID
--- a/core/recorder/filter_test.go
+++ b/core/recorder/filter_test.go
@@ -44,7 +44,7 @@
 	t.Run("all", func(t *testing.T) { assertSelected(t, Filter{}, 1, 2, 3, 4, 5, 6) })
 	t.Run("job", func(t *testing.T) { assertSelected(t, Filter{Job: quote}, 4, 5, 6) })
 	t.Run("worker by name", func(t *testing.T) { assertSelected(t, Filter{Worker: "worker-b"}, 2, 3, 5, 6) })
-	t.Run("one run of a worker", func(t *testing.T) {
+	t.Run("one incarnation of a worker", func(t *testing.T) {
 		assertSelected(t, Filter{Worker: "worker-b/0000000000000003"}, 3, 6)
 	})
 	t.Run("own process", func(t *testing.T) { assertSelected(t, Filter{Worker: "entry-a", Job: hold}, 1, 2, 3) })
