--- a/core/exporter/page_test.go
+++ b/core/exporter/page_test.go
@@ -142,7 +142,7 @@
 }
 
 // Guards against a new value of a domain type that is missing from its list here, and is therefore counted as Other.
-func TestLabelListsAreWhole(t *testing.T) {
+func TestLabelListsAreComplete(t *testing.T) {
 	t.Run("outcomes", func(t *testing.T) { assertListed(t, "../specifier/outcome.go", outcomes) })
 	t.Run("reasons", func(t *testing.T) { assertListed(t, "../specifier/reason.go", reasons) })
 	t.Run("verdicts", func(t *testing.T) { assertListed(t, "../specifier/verdict.go", verdicts) })
