--- a/core/operator/client.go
+++ b/core/operator/client.go
@@ -65,8 +65,8 @@
 
 // Change proposes command, a ChangeConfiguration or a DrainMember, and returns the decision. The command is idempotent,
 // so it is sent again when the answer is lost.
-func (c *Client) Change(ctx context.Context, request, operator string, command specifier.Command) (specifier.Decision, error) {
-	message := &encoder.ChangeRequest{RequestId: request, Operator: operator, Command: encoder.EncodeCommand(command)}
+func (c *Client) Change(ctx context.Context, requestID, operator string, command specifier.Command) (specifier.Decision, error) {
+	message := &encoder.ChangeRequest{RequestId: requestID, Operator: operator, Command: encoder.EncodeCommand(command)}
 	return callLeader(ctx, c, func(ctx context.Context, conn *grpc.ClientConn) (specifier.Decision, error) {
 		reply, err := encoder.NewOperatorClient(conn).Change(ctx, message)
 		if err != nil {
--- a/core/operator/events.go
+++ b/core/operator/events.go
@@ -51,7 +51,7 @@
 	return event, nil
 }
 
-// decodeJob decodes a job id. No bytes stand for the zero id.
+// decodeJob decodes a job id. An empty raw stands for the zero id.
 func decodeJob(found *specifier.Problems, raw []byte) specifier.JobID {
 	var job specifier.JobID
 	if len(raw) != 0 && len(raw) != len(job) {
--- a/core/operator/operator_test.go
+++ b/core/operator/operator_test.go
@@ -117,7 +117,7 @@
 		leader := serve(t, &fakeController{state: sampleState()})
 		assertState(t, newClient(serve(t, &fakeController{err: &NotLeaderError{Leader: leader}})))
 	})
-	t.Run("after one that is down", func(t *testing.T) {
+	t.Run("after a controller that is down", func(t *testing.T) {
 		assertState(t, newClient(closedAddr(t), serve(t, &fakeController{state: sampleState()})))
 	})
 	t.Run("after an election", func(t *testing.T) {
@@ -137,26 +137,26 @@
 
 // Guards against a refusal that is retried, or whose cause is lost.
 func TestClientReportsRefusals(t *testing.T) {
-	t.Run("a revision that is not held", func(t *testing.T) {
+	t.Run("a revision that is not stored", func(t *testing.T) {
 		f := &fakeController{err: ErrRevisionUnavailable}
 		_, err := newClient(serve(t, f)).Read(t.Context(), 3)
 		must.True(t, errors.Is(err, ErrRevisionUnavailable))
 		must.Eq(t, []specifier.Revision{3}, f.revisions)
 	})
-	t.Run("a command of members", func(t *testing.T) {
+	t.Run("a command that only members send", func(t *testing.T) {
 		f := &fakeController{}
 		_, err := newClient(serve(t, f)).Change(t.Context(), "r1", "ana", specifier.EndMember{Identity: specifier.Identity{Name: "x"}})
 		must.ErrorContains(t, err, "expected ChangeConfiguration or DrainMember")
 		must.SliceEmpty(t, f.commands)
 	})
-	t.Run("a process that is no controller", func(t *testing.T) {
+	t.Run("a process that is not a controller", func(t *testing.T) {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		must.NoError(t, err)
 		addr := run(t, grpc.NewServer(), listener)
 		_, err = newClient(addr).Read(t.Context(), 0)
 		must.ErrorContains(t, err, "not a controller")
 	})
-	t.Run("two request ids", func(t *testing.T) {
+	t.Run("two different request ids", func(t *testing.T) {
 		f := &fakeController{}
 		_, err := newClient(serve(t, f)).Change(t.Context(), "r1", "ana", specifier.ChangeConfiguration{RequestID: "r2", Operator: "ana"})
 		must.ErrorContains(t, err, "RequestId")
--- a/core/operator/server.go
+++ b/core/operator/server.go
@@ -11,8 +11,8 @@
 	"oleandertally/core/specifier"
 )
 
-// Server is the Operator service of a controller. Its fields are set before it is registered, and are called from many
-// goroutines.
+// Server is the Operator service of a controller. Its fields are set before it is registered. The functions are called
+// from many goroutines.
 type Server struct {
 	encoder.UnimplementedOperatorServer
 	Propose Propose
