--- a/tally/changefile.go
+++ b/tally/changefile.go
@@ -25,8 +25,8 @@
 	return changeFile(settings), nil
 }
 
-// applied returns configuration with the changes of the file, for comparison.
-func (f changeFile) applied(configuration specifier.Configuration) specifier.Configuration {
+// applyTo returns a copy of configuration with the changes of the file, without a revision.
+func (f changeFile) applyTo(configuration specifier.Configuration) specifier.Configuration {
 	next := specifier.Configuration{Profiles: maps.Clone(configuration.Profiles), Teams: maps.Clone(configuration.Teams)}
 	for _, profile := range f.Profiles {
 		next.Profiles[profile.Name] = profile
--- a/tally/connection.go
+++ b/tally/connection.go
@@ -65,7 +65,7 @@
 	client := &operator.Client{Controllers: addrs, Credentials: insecure.NewCredentials(), AttemptTimeout: c.attemptTimeout, MaxRounds: maxRounds, RoundInterval: roundInterval,
 		Pause: c.env.pause, Clock: c.env.clock}
 	if c.settings != "" {
-		if err := c.secure(client); err != nil {
+		if err := c.applySettings(client); err != nil {
 			return nil, err
 		}
 	}
@@ -75,9 +75,9 @@
 	return client, nil
 }
 
-// secure sets the client's credentials and token from the settings. It also sets the controllers, unless -controllers
-// lists them.
-func (c *connection) secure(client *operator.Client) error {
+// applySettings sets the client's credentials and token from the settings, and limits its timeout to the one in the
+// settings. It also sets the controllers, unless -controllers lists them.
+func (c *connection) applySettings(client *operator.Client) error {
 	settings, err := configurator.Read[configurator.OperatorSettings](c.settings)
 	if err != nil {
 		return fail(exitUsage, "see docs/settings.md", "%v", err)
--- a/tally/fake_test.go
+++ b/tally/fake_test.go
@@ -136,7 +136,7 @@
 		return specifier.Decision{Verdict: specifier.Conflict, Revision: now.Revision, Operator: f.state.Operator}
 	}
 	file := changeFile{Profiles: c.Profiles, Teams: c.Teams, RemoveProfiles: c.RemoveProfiles, RemoveTeams: c.RemoveTeams}
-	next := file.applied(now)
+	next := file.applyTo(now)
 	next.Revision = now.Revision + 1
 	f.state.Configuration, f.state.Operator = next, c.Operator
 	f.history.Add(next)
--- a/tally/profilescompare.go
+++ b/tally/profilescompare.go
@@ -66,7 +66,7 @@
 		return state.Configuration, err
 	}
 	file, err := c.env.changeFile(args)
-	return file.applied(now), err
+	return file.applyTo(now), err
 }
 
 func (c *compareCommand) print(revision specifier.Revision, found []difference) {
--- a/tally/revisionrequest.go
+++ b/tally/revisionrequest.go
@@ -24,10 +24,10 @@
 	f.Uint64Var(&r.from, "from", 0, "")
 }
 
-// submit sends the change of file and prints the decision. The change is made from revision r.from, or from revision read
-// when r.from is not set.
-func (r *revisionRequest) submit(ctx context.Context, client *operator.Client, file changeFile, read specifier.Revision) error {
-	from := read
+// submit sends the change of file and prints the decision. The change is made from revision r.from, or from revision
+// current when r.from is not set.
+func (r *revisionRequest) submit(ctx context.Context, client *operator.Client, file changeFile, current specifier.Revision) error {
+	from := current
 	if r.from > 0 {
 		from = specifier.Revision(r.from)
 	}
--- a/tally/stop.go
+++ b/tally/stop.go
@@ -56,28 +56,28 @@
 		if err != nil {
 			return err
 		}
-		remaining := stopProgressOf(state, targets)
-		if line := remaining.String(); line != lastLine {
+		progress := stopProgressOf(state, targets)
+		if line := progress.String(); line != lastLine {
 			fmt.Fprintln(c.env.stderr, line)
 			lastLine = line
 		}
-		if remaining.isDone() {
-			return c.report(remaining)
+		if progress.isDone() {
+			return c.report(progress)
 		}
 		if !c.env.clock().Before(deadline) {
-			return fail(exitDeadline, "give the command again to wait longer, or: tally resume", "not ended after %v: %s", c.timeout, remaining.waitingNames())
+			return fail(exitDeadline, "give the command again to wait longer, or: tally resume", "not ended after %v: %s", c.timeout, progress.waitingNames())
 		}
 		if err := c.env.pause(ctx, c.pollInterval); err != nil {
-			return fail(exitFailed, "the members stay drained; undo with: tally resume", "interrupted: %s", remaining)
+			return fail(exitFailed, "the members stay drained; undo with: tally resume", "interrupted: %s", progress)
 		}
 	}
 }
 
-func (c *stopCommand) report(remaining stopProgress) error {
+func (c *stopCommand) report(progress stopProgress) error {
 	if c.json {
-		return writeJSON(c.env.stdout, remaining)
+		return writeJSON(c.env.stdout, progress)
 	}
-	_, err := fmt.Fprintf(c.env.stdout, "%d members have ended; their processes can be stopped\n", remaining.Ended)
+	_, err := fmt.Fprintf(c.env.stdout, "%d members have ended; their processes can be stopped\n", progress.Ended)
 	return err
 }
 
