--- a/controller/server/perform.go
+++ b/controller/server/perform.go
@@ -38,7 +38,7 @@
 	switch log := action.Log.(type) {
 	case replicator.Persist:
 		if log.State.Vote == c.machine.Node.Self {
-			c.Metrics.Elected()
+			c.Metrics.ElectionStarted()
 		}
 		c.disk.queue.Put(action)
 	case replicator.Append, replicator.Truncate, replicator.Compact, replicator.Restore:
--- a/core/exporter/controller.go
+++ b/core/exporter/controller.go
@@ -67,8 +67,8 @@
 	c.applied.Set(float64(applied))
 }
 
-// Elected counts an election that this controller started.
-func (c *Controller) Elected() { c.elections.Inc() }
+// ElectionStarted counts an election that this controller started.
+func (c *Controller) ElectionStarted() { c.elections.Inc() }
 
 // Synced records the duration of one synced write of the log.
 func (c *Controller) Synced(took time.Duration) { c.sync.Observe(took.Seconds()) }
