--- a/replay/player/agent.go
+++ b/replay/player/agent.go
@@ -12,17 +12,17 @@
 
 // agent is a fake agent with the task queue that real agents use.
 type agent struct {
-	player     *Player
-	member     specifier.Member
-	index      int // number of the worker in the trace
-	zone       int
-	queue      orderer.Queue
-	owners     map[specifier.TaskKey]*entry // which entry sent each task
-	reporter   orderer.LoadReporter[int]    // by index of the entry
-	classifier classifier.Classifier
-	pushCount  int
-	down       bool
-	wakeAt     time.Time
+	player       *Player
+	member       specifier.Member
+	index        int // number of the worker in the trace
+	zone         int
+	queue        orderer.Queue
+	owners       map[specifier.TaskKey]*entry // which entry sent each task
+	loadReporter orderer.LoadReporter[int]    // by index of the entry
+	classifier   classifier.Classifier
+	pushCount    int
+	down         bool
+	wakeAt       time.Time
 }
 
 // assign adds a task of an entry to the queue.
@@ -57,7 +57,7 @@
 		return
 	}
 	a.startWaiting()
-	for _, i := range a.reporter.Due(now, a.queue.Load()) {
+	for _, i := range a.loadReporter.Due(now, a.queue.Load()) {
 		a.send(a.player.entries[i], a.player.entries[i].dispatch)
 	}
 	if next := a.queue.Next(); !next.IsZero() && !next.Equal(a.wakeAt) {
@@ -102,14 +102,14 @@
 	delete(a.owners, key)
 	a.startWaiting()
 	a.send(owner, func() { owner.taskDone(a, key, ok, run) })
-	a.reporter.TaskEnded()
+	a.loadReporter.TaskEnded()
 	a.step()
 }
 
 // send sends a message to an entry, together with the agent's load.
 func (a *agent) send(to *entry, deliver func()) {
 	load := a.queue.Load()
-	a.reporter.ReportSent(a.player.time.now, to.index, load)
+	a.loadReporter.ReportSent(a.player.time.now, to.index, load)
 	a.player.send(a.zone, to.zone, func() {
 		to.scheduler.UpdateLoad(a.player.time.now, a.member.Identity, load)
 		deliver()
@@ -120,7 +120,7 @@
 	a := &agent{player: p, index: index, zone: zone, member: member, queue: orderer.Queue{Slots: member.Slots},
 		owners: make(map[specifier.TaskKey]*entry)}
 	for i := range p.trace.Entries {
-		a.reporter.Add(epoch, i, a.queue.Load())
+		a.loadReporter.Add(epoch, i, a.queue.Load())
 	}
 	return a
 }
