--- a/entry/coordinator/path_test.go
+++ b/entry/coordinator/path_test.go
@@ -67,9 +67,9 @@
 	c.mustKeepGuarantees()
 }
 
-// TestReportDoesNotJudgeLaterAssignments guards against a second start when an agent's report crosses an assignment:
+// TestReportDoesNotCoverLaterAssignments guards against a second start when an agent's report crosses an assignment:
 // the report does not cover a task that was sent after the fence (found by seed 149).
-func TestReportDoesNotJudgeLaterAssignments(t *testing.T) {
+func TestReportDoesNotCoverLaterAssignments(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	e := c.entries[0]
 	job := newJob(0, 6) // more tasks than slots, so that some wait at the entry
@@ -86,9 +86,9 @@
 	c.mustKeepGuarantees()
 }
 
-// TestUnnoticedTakeOverIsCollected guards against a new run under the epoch of a takeover whose decision was lost: the
+// TestUndetectedTakeoverIsCollected guards against a new run under the epoch of a takeover whose decision was lost: the
 // tasks may have started under the former owner (found by seed 2139).
-func TestUnnoticedTakeOverIsCollected(t *testing.T) {
+func TestUndetectedTakeoverIsCollected(t *testing.T) {
 	c := newCluster(t, 2, 2)
 	job := newJob(0, 2)
 	c.submit(c.entries[0], job)
@@ -150,8 +150,8 @@
 	c.mustKeepGuarantees()
 }
 
-// TestRefusalAsksTheRecord guards against a NotRun answer for a key whose job runs at another entry.
-func TestRefusalAsksTheRecord(t *testing.T) {
+// TestRefusalChecksTheRecord guards against a NotRun answer for a key whose job runs at another entry.
+func TestRefusalChecksTheRecord(t *testing.T) {
 	c := newCluster(t, 2, 2)
 	job := newJob(0, 1)
 	first := c.submit(c.entries[0], job)
@@ -164,9 +164,9 @@
 	c.mustKeepGuarantees()
 }
 
-// TestRefusalHoldsForCopiesOnTheirWay guards against running a delayed copy of a request after another copy was
+// TestRefusalCoversCopiesInTransit guards against running a delayed copy of a request after another copy was
 // refused.
-func TestRefusalHoldsForCopiesOnTheirWay(t *testing.T) {
+func TestRefusalCoversCopiesInTransit(t *testing.T) {
 	c := newCluster(t, 2, 2)
 	job := newJob(0, 1)
 	late := c.submit(c.entries[0], job) // proposed but not decided
