--- a/replay/outcome_test.go
+++ b/replay/outcome_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestSickWorkers(t *testing.T) {
+func TestUnhealthyWorkers(t *testing.T) {
 	for _, name := range []string{"black-hole", "two-faults", "straggler", "poison", "zone-lost", "steady-95"} {
 		t.Run(name, func(t *testing.T) {
 			got := summaryOf(t, name)
