--- a/local/deployer/stop_test.go
+++ b/local/deployer/stop_test.go
@@ -134,7 +134,7 @@
 
 // Guards against a graceful shutdown of an agent and an entry that aborts a request or a task, refuses a job that ran, or
 // leaks a goroutine.
-func TestPlannedStopCutsNothingOff(t *testing.T) {
+func TestGracefulShutdownAbortsNothing(t *testing.T) {
 	leaks := goleak.IgnoreCurrent()
 	starts := &emulator.StartLog{}
 	site := startSite(t, starts)
