--- a/controller/redirector/redirector_test.go
+++ b/controller/redirector/redirector_test.go
@@ -47,7 +47,7 @@
 }
 
 // Guards against entries, agents and controllers that find no leader when their settings name only hosts without a disk.
-func TestReferences(t *testing.T) {
+func TestRedirects(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	conn := connect(t)
