--- a/local/simulator/schedule_test.go
+++ b/local/simulator/schedule_test.go
@@ -13,7 +13,7 @@
 
 // Guards against a task that runs twice, a worker over its capacity, a start after an acknowledged end, a refused job that ran,
 // and a job that is never answered or never ends. Leaders, agents and workers fail meanwhile, and calls are carried out late.
-func TestQueuesHold(t *testing.T) {
+func TestQueueGuarantees(t *testing.T) {
 	for seed := *firstSeed; seed < *firstSeed+*schedules; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { runSchedule(t, seed) })
 	}
