--- a/state/replicator/fault_test.go
+++ b/state/replicator/fault_test.go
@@ -161,7 +161,7 @@
 }
 
 // Guards against a planned stop of the leader that leaves the cluster without a leader for an election timeout.
-func TestTransferElectsAtOnce(t *testing.T) {
+func TestTransferElectsImmediately(t *testing.T) {
 	c, leader := startCluster(t, 3)
 	before := c.now
 	c.step(leader, Transfer{})
