--- a/agent/leaseholder/leaseholder_test.go
+++ b/agent/leaseholder/leaseholder_test.go
@@ -126,9 +126,9 @@
 	must.True(t, f.holder.Idle())
 }
 
-// TestLostPollIsRepeatedAtOnce guards against ends that are noticed half a second late because the answer to one poll
+// TestLostPollIsRepeatedImmediately guards against ends that are noticed half a second late because the answer to one poll
 // was lost.
-func TestLostPollIsRepeatedAtOnce(t *testing.T) {
+func TestLostPollIsRepeatedImmediately(t *testing.T) {
 	f := newFixture(t)
 	must.True(t, f.holder.polling)
 	f.step(PollResult{Answer: Answer{CalledAt: f.now, Lost: true}})
