--- a/core/encoder/decision_test.go
+++ b/core/encoder/decision_test.go
@@ -37,7 +37,7 @@
 }
 
 // Guards against a Detail from an upstream that protobuf or the receiver refuses because it is too long or not UTF-8.
-func TestAnswerCutsDetail(t *testing.T) {
+func TestAnswerTruncatesDetail(t *testing.T) {
 	m := EncodeAnswer(specifier.Fail(specifier.TaskFailed, strings.Repeat("é", specifier.MaxDetail)+"\xff", false))
 	_, err := DecodeAnswer(m)
 	must.NoError(t, err)
