--- a/controller/run_test.go
+++ b/controller/run_test.go
@@ -155,7 +155,7 @@
 }
 
 // Guards against a wrong exit code for unusable settings, after which a platform would restart the process forever or never.
-func TestNoStart(t *testing.T) {
+func TestStartFailures(t *testing.T) {
 	s := newSite(t, 2)
 	for name, arguments := range map[string][]string{
 		"no settings":     {},
