--- a/controller/server/faults_test.go
+++ b/controller/server/faults_test.go
@@ -70,7 +70,7 @@
 }
 
 // Guards against two concurrent changes that are both applied, and against a conflict that does not name the other operator.
-func TestRace(t *testing.T) {
+func TestConcurrentChanges(t *testing.T) {
 	c := newCluster(t, 3).begin()
 	names := []string{"eva", "luis"}
 	decisions := make([]specifier.Decision, len(names))
