--- a/core/supervisor/supervisor_test.go
+++ b/core/supervisor/supervisor_test.go
@@ -126,7 +126,7 @@
 	})
 }
 
-func TestCutOff(t *testing.T) {
+func TestAbortedShutdown(t *testing.T) {
 	t.Run("deadline", func(t *testing.T) {
 		// Guards against a drain that never ends.
 		synctest.Test(t, func(t *testing.T) {
