--- a/core/configurator/reader_test.go
+++ b/core/configurator/reader_test.go
@@ -165,7 +165,7 @@
 	}
 }
 
-func TestWholeFile(t *testing.T) {
+func TestMalformedFiles(t *testing.T) {
 	// Guards against input that exhausts memory or the parser's stack.
 	cases := []struct{ name, text, expected string }{
 		{"empty", "", "1: the file is empty"},
