--- a/dispatch/scheduler/engine_test.go
+++ b/dispatch/scheduler/engine_test.go
@@ -118,9 +118,9 @@
 	})
 }
 
-// TestAdmitUnlearned guards against a profile whose declared run time is ten times too long: its jobs would be refused
+// TestAdmitBeforeLearning guards against a profile whose declared run time is ten times too long: its jobs would be refused
 // each time, so that the actual run time is never learned.
-func TestAdmitUnlearned(t *testing.T) {
+func TestAdmitBeforeLearning(t *testing.T) {
 	s := newScheduler(11)
 	profile := specifier.Profile{Name: "p", Service: "s", TypicalTime: 100 * time.Second}
 	job := specifier.Job{Tasks: make([]specifier.Task, 4), Deadline: start.Add(10 * time.Second)}
