--- a/state/journaler/journal_test.go
+++ b/state/journaler/journal_test.go
@@ -192,7 +192,7 @@
 
 // Guards against an interrupted write that makes Open fail, loses a synced frame or is truncated
 // without a log line.
-func TestTornTailIsCut(t *testing.T) {
+func TestTornTailIsTruncated(t *testing.T) {
 	folder, contents := populatedFolder(t, 0)
 	name := segment{number: 1}.name()
 	matched := 0
