--- a/state/journaler/journal_test.go
+++ b/state/journaler/journal_test.go
@@ -72,7 +72,7 @@
 }
 
 // Guards against a caller's bug that writes contradicting records, such as a gap in the indexes.
-func TestCommitRefusesOrder(t *testing.T) {
+func TestCommitRefusesInvalidOperations(t *testing.T) {
 	for name, operation := range map[string]Operation{
 		"gap": records(5, 5, 1), "truncate": Truncate{4}, "compacted": Truncate{1}, "compact": Compact{4}, "reset": Reset{0},
 		"size": Append{[]Record{{Index: 4, Data: make([]byte, MaxRecord+1)}}},
