--- a/local/measure_test.go
+++ b/local/measure_test.go
@@ -12,7 +12,7 @@
 )
 
 // Guards against a trace whose offered work differs from the demand that its figures are printed for.
-func TestTraceHasItsDemand(t *testing.T) {
+func TestTraceMatchesDemand(t *testing.T) {
 	c := measureCommand{seed: 3, entries: 2, length: 20 * time.Second}
 	for _, demand := range demands {
 		jobs := c.trace(demand).Jobs
