--- a/core/encoder/command_test.go
+++ b/core/encoder/command_test.go
@@ -61,7 +61,7 @@
 }
 
 // Guards against hostile values that reach the replicated state, and against errors that do not name the field.
-func TestCommandRefusesFields(t *testing.T) {
+func TestCommandRefusesInvalidFields(t *testing.T) {
 	job := specifier.JobID{1}
 	long := string(make([]byte, specifier.MaxName+1))
 	accept := commands()["accept"].(specifier.AcceptJob)
