--- a/core/encoder/decision_test.go
+++ b/core/encoder/decision_test.go
@@ -22,7 +22,7 @@
 }
 
 // Guards against a decision without the fields that its verdict requires, such as the owner that an attached caller waits for.
-func TestDecisionRefusesFields(t *testing.T) {
+func TestDecisionRefusesInvalidFields(t *testing.T) {
 	for field, decision := range map[string]specifier.Decision{
 		"Decision.Verdict": {Verdict: "Maybe"},
 		"Decision.Epoch":   {Verdict: specifier.Accepted},
