--- a/entry/coordinator/leave_test.go
+++ b/entry/coordinator/leave_test.go
@@ -51,8 +51,8 @@
 	c.stopReleased(c.agents[0])
 }
 
-// TestAgentLeavesWithoutLoss guards against a planned stop of an agent that loses a task, a result or a refusal in
-// transit, even when streams break during the stop.
+// TestAgentLeavesWithoutLoss guards against a graceful shutdown of an agent that loses a task, a result or a refusal in
+// transit, even when streams break during the shutdown.
 func TestAgentLeavesWithoutLoss(t *testing.T) {
 	departed := 0
 	for seed := range uint64(400) {
--- a/state/replicator/fault_test.go
+++ b/state/replicator/fault_test.go
@@ -160,7 +160,7 @@
 	must.Greater(t, behind.disk.snapshot.Index, behind.disk.last())
 }
 
-// Guards against a planned stop of the leader that leaves the cluster without a leader for an election timeout.
+// Guards against a graceful shutdown of the leader that leaves the cluster without a leader for an election timeout.
 func TestTransferElectsImmediately(t *testing.T) {
 	c, leader := startCluster(t, 3)
 	before := c.now
