--- a/agent/leaseholder/leaseholder_test.go
+++ b/agent/leaseholder/leaseholder_test.go
@@ -106,7 +106,7 @@
 	})
 }
 
-// TestUnansweredStart guards against a run that counts as ended although it may still begin, and against a run that is
+// TestUnansweredStart guards against a run that is treated as ended although it may still begin, and against a run that is
 // no longer tracked. Both could follow from a start whose answer is lost.
 func TestUnansweredStart(t *testing.T) {
 	f := newFixture(t)
--- a/agent/leaseholder/polling.go
+++ b/agent/leaseholder/polling.go
@@ -10,7 +10,7 @@
 // have announced itself: after a restart of the agent, the leases would end before the next announcement.
 func (l *LeaseHolder) mayPoll() bool { return l.token > 0 }
 
-// poll asks the worker for its runs and extends their leases as far as the grant allows.
+// poll asks the worker for its runs and extends their leases, at most to the end of the grant.
 func (l *LeaseHolder) poll() {
 	poll := Poll{Token: l.workerToken(), Acknowledged: l.acknowledged, Wait: pollWait, WorkerID: l.WorkerID()}
 	if !l.clock.known() || len(l.ends) > 0 {
--- a/agent/leaseholder/runs.go
+++ b/agent/leaseholder/runs.go
@@ -88,7 +88,7 @@
 	l.pollNow()
 }
 
-// pollNow polls the worker at once, without extending its leases.
+// pollNow polls the worker immediately, without extending its leases.
 func (l *LeaseHolder) pollNow() {
 	l.emit(Poll{Token: l.workerToken(), Acknowledged: l.acknowledged, Immediate: true, WorkerID: l.WorkerID()})
 }
--- a/agent/leaseholder/session.go
+++ b/agent/leaseholder/session.go
@@ -68,7 +68,8 @@
 	}
 }
 
-// acknowledge deletes the ends that the controller has recorded. Once none is left, the next poll need not wait longer.
+// acknowledge deletes the ends that the controller has recorded. When all ends are recorded, the next
+// poll is sent without further delay.
 func (l *LeaseHolder) acknowledge(number uint64) {
 	l.acknowledged = number
 	for len(l.ends) > 0 && l.ends[0].Number <= number {
@@ -79,8 +80,8 @@
 	}
 }
 
-// adoptToken adopts the token of a new leader, or a higher one for this process, and polls the worker at once: once the
-// worker has answered, it carries out no start with an earlier token.
+// adoptToken adopts the token of a new leader, or a higher one for this process, and polls the worker immediately.
+// After its answer, the worker carries out no start with an earlier token.
 func (l *LeaseHolder) adoptToken(token uint64) {
 	if token == l.token {
 		return
--- a/controller/dispatcher/call.go
+++ b/controller/dispatcher/call.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// cancel cancels a transient job at once. The cancellation of a recorded job is proposed, and the reply follows when it is committed.
+// cancel cancels a transient job immediately. The cancellation of a recorded job is proposed, and the reply follows when it is committed.
 func (d *Dispatcher) cancel(from waiter, queue specifier.Queue, id string) {
 	record, j := d.Recorder.Job(id), d.jobs[id]
 	known := record != nil && record.Job.Queue == queue.Name || j != nil && j.Queue == queue.Name
--- a/controller/dispatcher/dispatcher_test.go
+++ b/controller/dispatcher/dispatcher_test.go
@@ -125,7 +125,7 @@
 	})
 }
 
-// Guards against a black hole: a worker that fails every task at once, is therefore always free, and gets task after task.
+// Guards against a black hole: a worker that fails every task immediately, is therefore always free, and gets task after task.
 func TestWorkerThatFailsEverything(t *testing.T) {
 	f := newFixture(t, 1)
 	number := uint64(0)
--- a/controller/dispatcher/end.go
+++ b/controller/dispatcher/end.go
@@ -69,8 +69,8 @@
 	d.proposeEnd(t, r, pending, end, current)
 }
 
-// proposeEnd proposes the end of a run of a recorded job. An end that the log already holds may be acknowledged at once. The failure of
-// a run that has been replaced counts as an attempt but does not change the state of the task.
+// proposeEnd proposes the end of a run of a recorded job. An end that the log already holds may be acknowledged immediately. The
+// failure of a run that has been replaced counts as an attempt but does not change the state of the task.
 func (d *Dispatcher) proposeEnd(t *task, r *run, pending *pendingEnd, end specifier.RunEnd, current bool) {
 	if r != nil {
 		r.task = nil
--- a/controller/dispatcher/end_test.go
+++ b/controller/dispatcher/end_test.go
@@ -29,7 +29,7 @@
 }
 
 // Guards against a recorded job that never ends because the log rejected the end of its last task: a leader whose lease has lapsed
-// for a moment rejects commands and then goes on leading.
+// for a moment rejects commands and then continues to lead.
 func TestEndThatTheLogRejected(t *testing.T) {
 	f := newFixture(t, 1)
 	f.submit("a", 1, false)
--- a/controller/dispatcher/orphan_test.go
+++ b/controller/dispatcher/orphan_test.go
@@ -35,7 +35,7 @@
 // being stopped.
 func TestAbandonedJobIsResubmitted(t *testing.T) {
 	f := newFixture(t, 2)
-	f.estimate = time.Minute // so that the run is not stopped as stalled
+	f.estimate = time.Minute // keeps the run from being stopped as stalled
 	f.submit("a", 1, true)
 	key := f.starts()[0].Key
 	f.step(CallReceived{Stream: caller, Sequence: 1, Call: specifier.QueueCall{Verb: specifier.AbandonQueued}})
--- a/controller/dispatcher/placement.go
+++ b/controller/dispatcher/placement.go
@@ -12,8 +12,8 @@
 	maxMisses = 24
 	// latePenalty is added to the key of a task that can no longer end in time, to order it behind those that can.
 	latePenalty = 10 * time.Second
-	// A task should start early enough to leave a margin of its estimate divided by estimateMarginDivisor, plus startMargin for messages:
-	// a task that would only just end in time mostly ends late, and delays a task that has time.
+	// A task should start early enough to leave a margin of its estimate divided by estimateMarginDivisor, plus startMargin for messages.
+	// A task that would only just end in time mostly ends late, and delays a task that has time.
 	estimateMarginDivisor = 4
 	startMargin           = 12 * time.Millisecond
 	// runTermFactor multiplies the term in the number of a run, so that a later leader's numbers are always higher.
--- a/controller/sequencer/commit.go
+++ b/controller/sequencer/commit.go
@@ -76,7 +76,7 @@
 	if end, ok := r.command.(specifier.EndMember); ok && r.stream == 0 {
 		delete(s.ending, end.Identity)
 		if until, ok := s.leases[end.Identity]; ok {
-			s.grant(end.Identity, until) // to propose its end again
+			s.grant(end.Identity, until) // the member's end is then proposed again
 		}
 	}
 	if r.stream != 0 && r.sequence != 0 {
--- a/controller/sequencer/sequencer.go
+++ b/controller/sequencer/sequencer.go
@@ -149,7 +149,7 @@
 	return nil
 }
 
-// submit proposes the waiting commands in batches, as far as maxInFlight allows.
+// submit proposes the waiting commands in batches, until maxInFlight batches are in flight.
 func (s *Sequencer) submit(now time.Time) {
 	for s.leads && len(s.waiting) > 0 && len(s.submitted)+len(s.logged) < maxInFlight {
 		size := s.batchSize()
--- a/core/specifier/member.go
+++ b/core/specifier/member.go
@@ -10,6 +10,6 @@
 	Zone    string         // availability zone
 	Rack    string
 	Service string // the service of the agent's upstream
-	Slots   int    // tasks that the agent's upstream runs at once
+	Slots   int    // number of tasks that the agent's upstream runs concurrently
 	State   MemberState
 }
--- a/core/specifier/taskend.go
+++ b/core/specifier/taskend.go
@@ -5,6 +5,6 @@
 	Job   string
 	Step  int
 	Index int
-	Run   uint64 // which run of the task ended
+	Run   uint64 // number of the run that ended
 	Kind  EndKind
 }
--- a/core/supervisor/logwriter_test.go
+++ b/core/supervisor/logwriter_test.go
@@ -30,7 +30,7 @@
 }
 
 func TestLogWriter(t *testing.T) {
-	// Guards against a process that blocks because nobody reads its log.
+	// Guards against a process that blocks because no process reads its log.
 	t.Run("an output that nobody reads", func(t *testing.T) {
 		out := &blockedOutput{release: make(chan struct{})}
 		w := NewLogWriter(out)
--- a/dispatch/admitter/demand.go
+++ b/dispatch/admitter/demand.go
@@ -13,7 +13,7 @@
 	TimeLeft   time.Duration // until the deadline of the job
 }
 
-// TimeToFinish returns the expected time until the job is complete. All waiting work counts as ahead of the job: narrow jobs
+// TimeToFinish returns the expected time until the job is complete. All waiting work is assumed to run before the job: narrow jobs
 // overtake a wide job, and a narrow job that overtakes others delays jobs that were admitted before it.
 func (d Demand) TimeToFinish() time.Duration {
 	return time.Duration(float64(d.QueuedWork+d.Work)/max(d.Slots, 1)) + d.Longest
--- a/dispatch/ejector/ejector.go
+++ b/dispatch/ejector/ejector.go
@@ -15,7 +15,7 @@
 }
 
 const (
-	// maxEjectedShare is the largest share of the workers that are ejected at once. When more seem unhealthy, the
+	// maxEjectedShare is the largest share of the workers that are ejected at the same time. When more seem unhealthy, the
 	// cause is probably common to all workers, and ejecting them only loses capacity.
 	maxEjectedShare = 0.3
 	// firstEjection doubles with each consecutive ejection, up to maxEjection, because each probe of a worker that
@@ -29,7 +29,7 @@
 )
 
 // Record adds the outcome of a task on a worker and reports whether this ejected the worker. The total number of
-// workers limits how many are ejected at once.
+// workers limits how many are ejected at the same time.
 func (e *Ejector[B, T]) Record(now time.Time, worker *Worker[B, T], outcome Outcome, workers int) bool {
 	if outcome.OK {
 		e.recordSuccess(worker, outcome)
--- a/dispatch/limiter/lessor.go
+++ b/dispatch/limiter/lessor.go
@@ -79,7 +79,7 @@
 	parts := make(map[string]float64, len(names))
 	for i, name := range names {
 		if claims[i].Need > 0 {
-			// Slots that no team needs are lent in the same proportions, so that entries can use them for new work at once.
+			// Slots that no team needs are lent in the same proportions, so that entries can use them for new work immediately.
 			parts[name] = claims[i].Allocated * l.grants[entry].need[name] / claims[i].Need * (1 + spare/max(l.Slots-spare, 1))
 		}
 	}
--- a/dispatch/limiter/limiter.go
+++ b/dispatch/limiter/limiter.go
@@ -104,8 +104,8 @@
 	if !now.Before(l.lease.Until) {
 		return l.allocate(name, slots, math.Inf(1))
 	}
-	// A team that needs more than at the last renewal gets its share of this entry's equal part at once. Over all
-	// entries, this adds up to the team's share, so that the excess is at most what other teams borrow of that share.
+	// A team that needs more than at the last renewal gets its share of this entry's equal part immediately. Over
+	// all entries, this adds up to the team's share, so that the excess is at most what other teams borrow of that share.
 	return max(l.lease.Slots[name], l.guarantee(name, slots))
 }
 
@@ -119,7 +119,7 @@
 }
 
 // Delay returns how far the team's next task is moved back in the order: the time that its waiting work takes on its
-// allocation, or 0 while the team needs no more than its allocation or no other team competes for slots.
+// allocation. Delay is 0 while the team needs no more than its allocation, or no other team competes for slots.
 func (l *Limiter) Delay(now time.Time, name string, slots float64) time.Duration {
 	t := l.teams[name]
 	if t == nil {
--- a/dispatch/retrier/retrier.go
+++ b/dispatch/retrier/retrier.go
@@ -23,8 +23,8 @@
 	r.budget(profile).RecordFirstAttempt(ratio)
 }
 
-// Plan returns the time of the retry, or false if the task must not be retried: it may have run and is not repeatable,
-// the retry would come after the deadline, or the worker is lost and the budget is spent. When the budget is spent, a
+// Plan returns the time of the retry. It returns false if the task may have run and is not repeatable, if the retry would
+// come after the deadline, or if the worker is lost and the budget is spent. When the budget is spent, a
 // task that was not started is retried after maxDelay, since another agent may still have free capacity.
 func (r *Retrier) Plan(now time.Time, attempt Attempt) (time.Time, bool) {
 	if attempt.Cause == Lost && !attempt.Repeatable {
--- a/dispatch/scheduler/agent.go
+++ b/dispatch/scheduler/agent.go
@@ -26,7 +26,7 @@
 	refusedUntil time.Time // no task is sent before this time, since the agent refused one
 }
 
-// slots returns how many tasks the agent can run at once.
+// slots returns how many tasks the agent can run concurrently.
 func (a *agent) slots() int {
 	if !a.connected || a.member.State != specifier.Up {
 		return 0
--- a/dispatch/scheduler/dispatch.go
+++ b/dispatch/scheduler/dispatch.go
@@ -20,7 +20,7 @@
 	return e.assignments
 }
 
-// sendNext sends the first task, from either lane, for which an agent has capacity. It returns false if there is none.
+// sendNext sends the first task, from either lane, for which an agent has capacity. It returns false if there is no such task.
 func (e *Engine[P, T]) sendNext(now time.Time, pool *pool) bool {
 	short, hasShort := pool.peek(shortLane)
 	if long, hasLong := pool.peek(longLane); hasLong && (!hasShort || long.item.Order.Less(short.item.Order)) {
--- a/dispatch/scheduler/engine.go
+++ b/dispatch/scheduler/engine.go
@@ -58,7 +58,7 @@
 	// or the agent is draining, and this state has not reached the entry yet.
 	refusalDelay = 100 * time.Millisecond
 	// unlearnedShare is the upper limit of the expected run time of a profile without enough samples, as a share of the
-	// time to the deadline. It lets the first jobs of the profile pass admission.
+	// time to the deadline. With it, the first jobs of the profile pass admission.
 	unlearnedShare = 0.1
 	// urgentWindow is how far ahead the time of its order key may be for a task to count as nearly due. The tasks of a job
 	// of 10 tasks are nearly due on arrival.
--- a/dispatch/scheduler/engine_test.go
+++ b/dispatch/scheduler/engine_test.go
@@ -264,7 +264,7 @@
 	}
 }
 
-// BenchmarkPlacement reports the time of a whole cycle, and that of Dispatch alone.
+// BenchmarkPlacement reports the time of a full cycle, and the time of Dispatch alone.
 func BenchmarkPlacement(b *testing.B) {
 	for _, agents := range []int{11, 110, 940} {
 		b.Run(fmt.Sprint(agents), func(b *testing.B) {
--- a/dispatch/scheduler/enqueue.go
+++ b/dispatch/scheduler/enqueue.go
@@ -36,7 +36,7 @@
 }
 
 // expectedRunTime returns the expected run time of a task. Until the profile has enough samples, its declared run time
-// counts as at most a share of the time to the deadline. Otherwise a profile that declares ten times its actual run time
+// is limited to a share of the time to the deadline. Otherwise a profile that declares ten times its actual run time
 // would never be admitted, and so would never get samples.
 func (e *Engine[P, T]) expectedRunTime(profile string, left time.Duration) time.Duration {
 	typical := e.profiles[profile].TypicalTime
--- a/dispatch/scheduler/latebinding.go
+++ b/dispatch/scheduler/latebinding.go
@@ -15,7 +15,7 @@
 
 const (
 	// lookAhead is how many nearly due tasks are assigned to an agent beyond its slots. A slot that becomes free is then
-	// used at once, without waiting until an entry learns of the slot and sends a task.
+	// used immediately, without waiting until an entry learns of the slot and sends a task.
 	lookAhead = 3
 	// reserveShare is the share of all slots that tasks that are not nearly due leave free.
 	reserveShare = 0.13
@@ -97,8 +97,8 @@
 	return float64(p.longAssigned) >= p.shortNeed.maxLong(part, c.longShare)
 }
 
-// reservedSlots returns how many slots are left free by tasks that are not nearly due: none if so much work waits that
-// every slot is needed.
+// reservedSlots returns how many slots are left free by tasks that are not nearly due. It returns 0 if so much work
+// waits that every slot is needed.
 func (p *pool) reservedSlots(c constraints) int {
 	slots := p.slots()
 	if p.work[shortLane] > time.Duration(slots/c.entries)*maxReservedWork {
--- a/dispatch/scheduler/random.go
+++ b/dispatch/scheduler/random.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Random is a baseline policy that chooses any agent, independent of load. Tasks are sent at once and wait at the
+// Random is a baseline policy that chooses any agent, independent of load. Tasks are sent immediately and wait at the
 // agents.
 type Random struct{}
 
--- a/dispatch/scheduler/retrylost.go
+++ b/dispatch/scheduler/retrylost.go
@@ -6,7 +6,7 @@
 	"oleandertally/dispatch/retrier"
 )
 
-// RetryLost queues repeatable tasks whose worker is lost, as far as the retry budget of their profile allows. It returns
+// RetryLost queues repeatable tasks whose worker is lost, within the retry budget of their profile. It returns
 // false if a task cannot be queued, since its job can then not be completed.
 func (e *Engine[P, T]) RetryLost(now time.Time, items []Item) bool {
 	e.init()
--- a/entry/answerer/handler.go
+++ b/entry/answerer/handler.go
@@ -69,7 +69,7 @@
 // the connection while the job runs.
 func (h *Handler) read(w http.ResponseWriter, r *http.Request) (specifier.Job, *specifier.Problems) {
 	control := http.NewResponseController(w)
-	// A connection without read deadlines, as in a test without a network, has the whole body at once.
+	// A connection without read deadlines, as in a test without a network, has the complete body immediately.
 	_ = control.SetReadDeadline(h.Clock().Add(h.BodyTimeout))
 	job, problems := decodeSubmission(http.MaxBytesReader(w, r.Body, h.MaxBody), r.Header.Get("Idempotency-Key"), h.Clock())
 	_ = control.SetReadDeadline(time.Time{})
--- a/entry/connector/messages.go
+++ b/entry/connector/messages.go
@@ -32,8 +32,8 @@
 // EncodeRelease returns the message by which this entry releases an agent.
 func EncodeRelease() *encoder.EntryMessage { return &encoder.EntryMessage{Released: true} }
 
-// merge joins leading messages as far as their order is preserved: an agent handles the assignments of a message
-// first, then its withdrawals, then its fences. It returns the merged message and the remaining messages.
+// merge joins leading messages while their order is preserved and their payloads fit in maxMergedBytes: an agent handles
+// the assignments of a message first, then its withdrawals, then its fences. It returns the merged message and the remaining messages.
 func merge(messages []*encoder.EntryMessage) (*encoder.EntryMessage, []*encoder.EntryMessage) {
 	merged := messages[0]
 	size := payloadBytes(merged)
--- a/entry/connector/proposer_test.go
+++ b/entry/connector/proposer_test.go
@@ -23,7 +23,7 @@
 // testTimeout ends a test that gets no decision.
 const testTimeout = 30 * time.Second
 
-// registry is a fake controller that decides every proposal, or none if unresponsive.
+// registry is a fake controller that decides every proposal, or no proposal if unresponsive.
 type registry struct {
 	encoder.UnimplementedRegistryServer
 
--- a/entry/coordinator/clusterstreams_test.go
+++ b/entry/coordinator/clusterstreams_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// connect opens a stream. As with real streams, the agent learns of it before the entry does.
+// connect opens a stream. As with real streams, the agent is notified before the entry.
 func (c *cluster) connect(s *agentStream) {
 	if known, ok := c.state.Member(s.agent.id.Name); !ok || known.Identity != s.agent.id || known.State == specifier.Down {
 		return
--- a/entry/coordinator/path_test.go
+++ b/entry/coordinator/path_test.go
@@ -275,7 +275,7 @@
 			failed++
 		}
 	}
-	must.Positive(t, failed) // the budget allows 11 retries at once, plus one for every ten first attempts
+	must.Positive(t, failed) // the budget allows 11 immediate retries, plus one for every ten first attempts
 	c.mustKeepGuarantees()
 }
 
--- a/entry/coordinator/releaseagent.go
+++ b/entry/coordinator/releaseagent.go
@@ -2,7 +2,7 @@
 
 import "oleandertally/core/specifier"
 
-// ReleaseAgent tells a leaving agent that this entry awaits no task or report from it.
+// ReleaseAgent notifies a leaving agent that this entry awaits no task or report from it.
 type ReleaseAgent struct {
 	Agent specifier.Identity
 }
--- a/entry/requester/machine.go
+++ b/entry/requester/machine.go
@@ -18,7 +18,7 @@
 	// When there has been no leader for longer than leaderTimeout, a new job waits for one for its ideal run time divided
 	// by idealDivisor.
 	idealDivisor = 4
-	// pingInterval keeps traffic on the stream, since an idle stream counts as broken.
+	// pingInterval keeps traffic on the stream, since an idle stream is treated as broken.
 	pingInterval = 100 * time.Millisecond
 )
 
--- a/local/benchmarker/wire_test.go
+++ b/local/benchmarker/wire_test.go
@@ -27,7 +27,7 @@
 	})
 }
 
-// BenchmarkUpdateOne reports the bytes that each entry gets when a number of members change at once.
+// BenchmarkUpdateOne reports the bytes that each entry gets when a number of members change at the same time.
 func BenchmarkUpdateOne(b *testing.B) {
 	runSizes(b, []int{1, 3, 188}, func(b *testing.B, changed int) {
 		update := specifier.Update{MemberVersion: 1 << 20, Members: newMembers(changed)}
--- a/local/counter/counter.go
+++ b/local/counter/counter.go
@@ -59,7 +59,7 @@
 	c.tallies[flow] = c.tallies[flow].Add(Tally{Messages: 1, Items: items(payload), Bytes: size})
 }
 
-// items returns the number of items in a message. A message without a list counts as one item.
+// items returns the number of items in a message. A message without a list is one item.
 func items(payload any) int {
 	switch message := payload.(type) {
 	case *encoder.EntryMessage:
--- a/local/deployer/copies_test.go
+++ b/local/deployer/copies_test.go
@@ -24,7 +24,7 @@
 )
 
 // Guards against tasks that start twice and callers that get different answers when many copies of one request
-// reach all entries at once, also when an entry, the leading controller or an agent is killed meanwhile.
+// reach all entries concurrently, also when an entry, the leading controller or an agent is killed meanwhile.
 func TestCopies(t *testing.T) {
 	t.Run("no fault", func(t *testing.T) {
 		h := newHarness(t, newStartWatch(startsBeforeKill))
--- a/local/deployer/harness_test.go
+++ b/local/deployer/harness_test.go
@@ -111,7 +111,7 @@
 	return answerer.Response{}
 }
 
-// submitCopies sends copies of one request through all entries at once. wait returns the answers.
+// submitCopies sends copies of one request through all entries concurrently. wait returns the answers.
 func (h *harness) submitCopies(key string, job tracer.Job) (wait func() []answerer.Response) {
 	body, err := json.Marshal(submitter.NewSubmission(job))
 	must.NoError(h.t, err)
--- a/local/deployer/process.go
+++ b/local/deployer/process.go
@@ -15,8 +15,8 @@
 	done   chan struct{}
 }
 
-// start runs a role in the group until it is killed or ctx ends. A role that ends by itself with an error ends the
-// site. In CPU profiles, its goroutines are labelled with kind.
+// start runs a role in the group until it is killed or ctx ends. A role that ends with an error without being stopped ends
+// the site. In CPU profiles, its goroutines are labelled with kind.
 func start(ctx context.Context, group *errgroup.Group, kind string, role role) *process {
 	ctx, cancel := context.WithCancel(ctx)
 	p := &process{role: role, cancel: cancel, done: make(chan struct{})}
--- a/local/deployer/site.go
+++ b/local/deployer/site.go
@@ -82,7 +82,7 @@
 	return s.configure()
 }
 
-// Stop terminates every role and returns the first error of a role that ended by itself.
+// Stop terminates every role and returns the first error of a role that ended without being stopped.
 func (s *Site) Stop() error {
 	s.cancel()
 	return s.group.Wait()
@@ -101,7 +101,7 @@
 		errors.CombineErrors(inParallel(ctx, s.agents, stopAgent), inParallel(ctx, s.entries, depart)))
 }
 
-// inParallel calls do for all processes at once and returns the first error.
+// inParallel calls do for all processes concurrently and returns the first error.
 func inParallel(ctx context.Context, roles []*process, do func(context.Context, *process) error) error {
 	group, ctx := errgroup.WithContext(ctx)
 	for _, role := range roles {
--- a/local/deployer/stop_test.go
+++ b/local/deployer/stop_test.go
@@ -30,7 +30,7 @@
 	tasksPerJob   = 4
 )
 
-// burst runs many callers at once. A caller whose job is refused because the entry stops submits it again at the
+// burst runs many callers concurrently. A caller whose job is refused because the entry stops submits it again at the
 // other entry, under a new key, because the refusal of the first key stays valid for specifier.RefusalRetention.
 type burst struct {
 	sender *submitter.Submitter
--- a/local/emulator/upstream.go
+++ b/local/emulator/upstream.go
@@ -86,7 +86,7 @@
 			timer.Stop()
 			withdrawCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 			defer cancel()
-			// An error is ignored: the agent may have stopped first, and its record of the upstream expires by itself.
+			// An error is ignored: the agent may have stopped first, and its record of the upstream expires.
 			_ = u.sendAnnouncement(withdrawCtx, http.MethodDelete)
 			return context.Cause(ctx)
 		}
--- a/local/submitter/result.go
+++ b/local/submitter/result.go
@@ -12,7 +12,7 @@
 	Job      tracer.Job
 	Key      string
 	Response answerer.Response
-	Status   int // of HTTP
+	Status   int // HTTP status code
 	Took     time.Duration
 	Err      error // why there is no answer
 }
--- a/replay/player/lease.go
+++ b/replay/player/lease.go
@@ -13,7 +13,7 @@
 	renewInterval = time.Second
 )
 
-// startLessor starts a lessor that divides the slots, and lets all entries renew their leases while jobs arrive.
+// startLessor starts a lessor that divides the slots, and makes all entries renew their leases while jobs arrive.
 func (p *Player) startLessor(teams map[string]specifier.Team) {
 	if len(teams) == 0 || !p.variant.Leases {
 		return
--- a/replay/tracer/catalog.go
+++ b/replay/tracer/catalog.go
@@ -87,7 +87,7 @@
 	return trace
 }
 
-// cancelWave cancels half of the jobs that arrived within two seconds, all at once, under high load.
+// cancelWave cancels half of the jobs that arrived within two seconds, all at the same time, under high load.
 func (c catalog) cancelWave() Trace {
 	trace := c.steady("cancel-wave", 0.95)
 	wave := trace.LengthMillis / 2
--- a/state/replicator/doc.go
+++ b/state/replicator/doc.go
@@ -11,7 +11,7 @@
 // Perform handles the actions in the order in which they are returned and never blocks:
 //
 //   - Persist, Truncate, Append, Restore and Compact go to the single disk goroutine, which handles them in order. The
-//     actions that carry a Write are numbered without gaps. The goroutine may sync many writes at once; after each
+//     actions that carry a Write are numbered without gaps. The goroutine may sync many writes together; after each
 //     sync it sends Synced with the number of the last write that the sync covers. The node defers messages that
 //     depend on a write, so Send never waits for the disk.
 //   - Send goes to the stream of the peer. Messages may be lost, delayed, duplicated and reordered.
--- a/state/replicator/schedule_test.go
+++ b/state/replicator/schedule_test.go
@@ -13,7 +13,8 @@
 	weights [9]int
 }
 
-// runSchedule takes the given number of random steps and then lets the cluster recover. It returns the first violation.
+// runSchedule takes the given number of random steps and then runs the cluster without faults until it recovers.
+// It returns the first violation.
 func runSchedule(pick func(n int) int, steps int) (err error) {
 	defer func() {
 		if fault := recover(); fault != nil {
--- a/state/replicator/start.go
+++ b/state/replicator/start.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// start loads the recovered state. The start counts as contact with a leader: before the restart, this server may have
+// start loads the recovered state. The start is treated as contact with a leader: before the restart, this server may have
 // acknowledged a leader whose lease relies on no vote for another candidate within an election timeout.
 func (n *Node) start() {
 	n.started = true
