--- a/agent/executor/departure.go
+++ b/agent/executor/departure.go
@@ -55,8 +55,8 @@
 }
 
 // requestRelease asks an entry for its release once the work has finished. The request is repeated on a new stream, since
-// the answer to the last one may be lost. An entry whose stream has ended is still waited for: it asks for its
-// results when it reconnects.
+// the answer to the last one may be lost. The agent also waits for an entry whose stream has ended, because that
+// entry asks for its results when it reconnects.
 func (x *Executor) requestRelease(entry specifier.Identity) {
 	if x.departure.workFinished {
 		x.departure.unreleased[entry] = true
--- a/agent/leaseholder/leaseholder.go
+++ b/agent/leaseholder/leaseholder.go
@@ -11,12 +11,12 @@
 const (
 	// renewInterval allows for several lost renewals within a grant.
 	renewInterval = 100 * time.Millisecond
-	// pollWait is how long a poll waits for an end. It is short, since the agent learns of no end while it waits for a poll whose
-	// answer is lost.
+	// pollWait is how long a poll waits for an end. It is short because, when the answer to a poll is lost, the agent receives no
+	// ends until the wait is over.
 	pollWait = 60 * time.Millisecond
-	// maxFailedPolls is the number of consecutive failed polls from which on the next one is delayed by retryInterval.
+	// maxFailedPolls is the number of consecutive failed polls after which the next poll is delayed by retryInterval.
 	maxFailedPolls = 3
-	// retryInterval is the delay of a poll after failed ones, and of a repeated stop.
+	// retryInterval is the delay of a poll after maxFailedPolls failed polls, and of a repeated stop.
 	retryInterval = 100 * time.Millisecond
 	// unreachableRetryInterval replaces retryInterval for polls once the worker has not answered for unreachableTimeout.
 	unreachableRetryInterval = 500 * time.Millisecond
--- a/controller/dispatcher/report.go
+++ b/controller/dispatcher/report.go
@@ -94,7 +94,7 @@
 		a.handledEnd, a.acknowledgedEnd, a.ends = 0, 0, nil
 		a.health = health{}
 		if a.worker != nil {
-			a.settled = false // until the agent has fenced off the orders to the former incarnation
+			a.settled = false // stays false until the agent has fenced off the orders to the former incarnation
 		}
 		d.emit(LogEvent{Event: "WorkerSeen", Agent: a.name, Detail: worker.ID})
 	}
--- a/controller/dispatcher/task.go
+++ b/controller/dispatcher/task.go
@@ -14,10 +14,10 @@
 	state         taskState
 	run           *run // while taskPlaced
 	startCount    uint64
-	failures      int      // of a transient job
+	failures      int      // failed runs; counted here only for a transient job
 	recordingRuns []uint64 // runs whose ends are being recorded
 	avoid         *agent   // agent where it last failed, was refused or stalled
-	checkpoint    string   // newest
+	checkpoint    string   // newest checkpoint
 	queued        bool     // in the ready queue
 }
 
--- a/controller/driver/driver.go
+++ b/controller/driver/driver.go
@@ -35,7 +35,7 @@
 	// VoterTimeout is how long a voter may be unreachable before it is removed while there are more than MinVoters; 0 for never.
 	// A learner is removed after the same time.
 	VoterTimeout time.Duration
-	Zone         string // of this controller, for operators
+	Zone         string // zone of this controller, shown to operators
 
 	history          operator.History
 	historyRevision  specifier.Revision          // newest revision in history
--- a/controller/sequencer/session.go
+++ b/controller/sequencer/session.go
@@ -7,9 +7,9 @@
 	member     specifier.Member
 	joined     bool                     // recorded in the replicated membership
 	unanswered int                      // heartbeats not yet answered with a lease
-	needs      []specifier.ServiceShare // of an entry
+	needs      []specifier.ServiceShare // for an entry: the slots that its teams could use
 	load       specifier.Load
 	hasLoad    bool // the member has reported a load
 	revision   specifier.Revision
-	version    uint64 // of the membership that the member has been sent
+	version    uint64 // version of the membership that was last sent to the member
 }
--- a/controller/server/peers.go
+++ b/controller/server/peers.go
@@ -22,7 +22,7 @@
 	self     netip.AddrPort
 	contacts *contacts
 	settings []Peer              // used for controllers that are not in servers
-	servers  []replicator.Server // of the configuration in force
+	servers  []replicator.Server // servers of the configuration in force
 	open     map[netip.AddrPort]*peerSender
 }
 
--- a/controller/server/queues.go
+++ b/controller/server/queues.go
@@ -24,7 +24,7 @@
 	encoder.UnimplementedQueueKeeperServer
 
 	mailbox  *looper.Mailbox[driver.Event]
-	lastID   atomic.Uint64 // of a stream
+	lastID   atomic.Uint64 // ID of the newest stream
 	calls    streams[dispatcher.Stream, *encoder.QueueReplies]
 	sessions streams[dispatcher.Stream, *encoder.QueueOrder]
 
--- a/controller/server/recovery.go
+++ b/controller/server/recovery.go
@@ -10,7 +10,7 @@
 type recovery struct {
 	disk    uint64 // identity of the data folder
 	log     replicator.Recovered
-	content []byte // of the newest snapshot; nil when there is none
+	content []byte // content of the newest snapshot; nil without a snapshot
 }
 
 // isNew reports whether the folder never took part in a cluster. A folder that holds only term 1 is new too: an interrupted
--- a/controller/server/registry.go
+++ b/controller/server/registry.go
@@ -22,7 +22,7 @@
 
 	mailbox   *looper.Mailbox[driver.Event]
 	security  *authenticator.Authenticator
-	lastID    atomic.Uint64 // of a stream
+	lastID    atomic.Uint64 // ID of the newest stream
 	proposers streams[sequencer.Stream, *encoder.Verdict]
 	sessions  streams[sequencer.Stream, specifier.Update]
 }
--- a/core/configurator/deploymentcheck.go
+++ b/core/configurator/deploymentcheck.go
@@ -8,10 +8,10 @@
 // deploymentCheck checks the processes of a deployment together, and first fills in the settings
 // that they inherit from it. Inherited settings are checked once, at the place where the file has them.
 type deploymentCheck struct {
-	checker   checker                               // of the deployment
-	security  SecuritySettings                      // of the deployment
+	checker   checker                               // checker of the deployment's own settings
+	security  SecuritySettings                      // security settings of the deployment
 	inherited struct{ used, teams, operators bool } // whether a process inherits Security, and which of its lists such processes need
-	used      listeners                             // of the processes checked so far
+	used      listeners                             // listeners of the processes checked so far
 	names     map[string]string                     // path of the process that has each name
 }
 
--- a/core/locator/addressbook.go
+++ b/core/locator/addressbook.go
@@ -10,7 +10,7 @@
 type addressBook struct {
 	seeds     []netip.AddrPort
 	known     []netip.AddrPort
-	leader    netip.AddrPort // to try next; zero for none
+	leader    netip.AddrPort // leader to try next; zero if the next address comes from the lists
 	connected netip.AddrPort // the leader at the other end of the open stream; zero without one
 	next      int
 }
--- a/core/registrant/notification.go
+++ b/core/registrant/notification.go
@@ -10,7 +10,7 @@
 type Notification struct {
 	Self          specifier.Identity
 	Members       []specifier.Member // all known members; nil when unchanged
-	MemberVersion uint64             // of the membership
+	MemberVersion uint64             // version of the membership
 	// Configuration is set when a newer one was received.
 	Configuration *specifier.Configuration
 	// LeaseEnd is counted from the time when the renewal was sent; zero when unchanged.
--- a/core/specifier/acceptjob.go
+++ b/core/specifier/acceptjob.go
@@ -10,8 +10,8 @@
 	Digest    Digest
 	Owner     Identity
 	TaskCount int
-	Revision  Revision      // of the configuration that the owner uses
-	TimeLeft  time.Duration // until the job's deadline, at the time of the proposal
+	Revision  Revision      // revision of the configuration that the owner uses
+	TimeLeft  time.Duration // time until the job's deadline, at the time of the proposal
 }
 
 func (AcceptJob) command() {}
--- a/core/specifier/decision.go
+++ b/core/specifier/decision.go
@@ -10,7 +10,7 @@
 	OwnerAddr netip.AddrPort
 	OwnerDown bool       // Attached: the owner is recorded as Down, so the job may be taken over
 	Epoch     Epoch      // Accepted, Attached, Finished
-	Revision  Revision   // of the configuration in force
+	Revision  Revision   // revision of the configuration in force
 	Answer    Answer     // Finished, without results
 	Departed  []Identity // Accepted after TakeOverJob: agents that went Down since the job was accepted
 	// MemberVersion counts the changes of the membership. An entry that takes a job over must know
--- a/core/specifier/heartbeat.go
+++ b/core/specifier/heartbeat.go
@@ -4,6 +4,6 @@
 type Heartbeat struct {
 	Member   *Member // in the first message, and when it changes
 	Revision Revision
-	Needs    []ServiceShare // of an entry: the slots that its teams could use
-	Load     *Load          // of an agent; nil when it is not reported
+	Needs    []ServiceShare // from an entry: the slots that its teams could use
+	Load     *Load          // from an agent; nil when it is not reported
 }
--- a/core/specifier/leasereport.go
+++ b/core/specifier/leasereport.go
@@ -3,7 +3,7 @@
 // LeaseReport is a message from an agent to the leading controller. Fields that did not change are zero.
 type LeaseReport struct {
 	Agent         string
-	Incarnation   Incarnation // of the agent's process
+	Incarnation   Incarnation // incarnation of the agent's process
 	Renewal       uint64      // number of the request for a grant; 0 for none
 	LastOrder     uint64      // OrderCount of the last order that the report covers
 	AllRunsKnown  bool        // no unlisted run exists at the worker, and no start with an earlier token can still happen
--- a/core/specifier/queue.go
+++ b/core/specifier/queue.go
@@ -6,8 +6,8 @@
 type Queue struct {
 	Name        string
 	Host        string
-	Prefix      string        // of the path; the rest of the path is the job's ID
-	Pool        string        // of the workers that run its tasks
+	Prefix      string        // prefix of the path; the rest of the path is the job's ID
+	Pool        string        // pool of the workers that run its tasks
 	Priority    int           // 0 comes first
 	MaxAttempts int           // runs of a task that may fail before the job has failed
 	Stretch     float64       // factor of the ideal run time in the objective
--- a/core/specifier/queuecall.go
+++ b/core/specifier/queuecall.go
@@ -8,7 +8,7 @@
 	Host     string
 	Path     string
 	Job      QueuedJob     // with SubmitQueued; the path gives queue and ID
-	TimeLeft time.Duration // until the caller stops waiting
-	Age      time.Duration // since the call arrived at the entry
+	TimeLeft time.Duration // time until the caller stops waiting
+	Age      time.Duration // time since the call arrived at the entry
 	Manifest *Manifest     // with PutManifest
 }
--- a/core/specifier/queuereply.go
+++ b/core/specifier/queuereply.go
@@ -9,6 +9,6 @@
 	Pending    int
 	HasPending bool          // the call asked for Pending
 	RetryAfter time.Duration // with QueueRefused: when to try again
-	Document   []byte        // of the manifest in force
+	Document   []byte        // document of the manifest in force
 	Detail     string        // for people
 }
--- a/core/specifier/refusejob.go
+++ b/core/specifier/refusejob.go
@@ -7,7 +7,7 @@
 type RefuseJob struct {
 	Job      JobID
 	Digest   Digest
-	Revision Revision // of the configuration that the refusal is based on
+	Revision Revision // revision of the configuration that the refusal is based on
 	Answer   Answer   // NotRun
 }
 
--- a/core/specifier/runstart.go
+++ b/core/specifier/runstart.go
@@ -4,6 +4,6 @@
 type RunStart struct {
 	Key        RunKey
 	Content    string
-	Checkpoint string // to resume from; empty for none
+	Checkpoint string // checkpoint to resume from; empty to start anew
 	Resources  Resources
 }
--- a/core/specifier/update.go
+++ b/core/specifier/update.go
@@ -16,5 +16,5 @@
 	MembersComplete bool           // Members replaces all known members; otherwise it lists the changed ones
 	Members         []Member
 	Shares          []ServiceShare // with Lease: the slots that the entry may use during the lease
-	MemberVersion   uint64         // of the membership after Members
+	MemberVersion   uint64         // version of the membership that includes Members
 }
--- a/dispatch/admitter/byfinish.go
+++ b/dispatch/admitter/byfinish.go
@@ -5,7 +5,7 @@
 // ByFinish admits a job when its predicted time to finish is at most a share of the time to its deadline. The rest is
 // a reserve for prediction errors and for jobs that overtake this one.
 type ByFinish struct {
-	Share float64 // of the time to the deadline that the predicted time to finish may use; default 0.35
+	Share float64 // share of the time to the deadline that the predicted time to finish may use; default 0.35
 }
 
 const (
--- a/dispatch/admitter/demand.go
+++ b/dispatch/admitter/demand.go
@@ -10,7 +10,7 @@
 	Tasks      int           // number of tasks of the job
 	Work       time.Duration // expected run time of all tasks of the job
 	Longest    time.Duration // expected run time of the longest task of the job
-	TimeLeft   time.Duration // until the deadline of the job
+	TimeLeft   time.Duration // time until the deadline of the job
 }
 
 // TimeToFinish returns the expected time until the job is complete. All waiting work is assumed to run before the job: narrow jobs
--- a/dispatch/retrier/attempt.go
+++ b/dispatch/retrier/attempt.go
@@ -8,5 +8,5 @@
 	Repeatable bool
 	Cause      Cause
 	Count      int       // previous attempts
-	Deadline   time.Time // zero: none
+	Deadline   time.Time // zero if the task has no deadline
 }
--- a/entry/requester/machine.go
+++ b/entry/requester/machine.go
@@ -28,7 +28,7 @@
 	calls          map[uint64]*pending
 	byReply        map[chan<- answer]*pending
 	outbox         *looper.Outbox[*encoder.QueueCalls] // nil without a stream
-	disconnectedAt time.Time                           // when the stream ended, or the first call found none; zero with a stream
+	disconnectedAt time.Time                           // when the stream ended, or the first call found no stream; zero with a stream
 	pingAt         time.Time
 	actions        []action
 }
--- a/local/deployer/layout.go
+++ b/local/deployer/layout.go
@@ -12,9 +12,9 @@
 
 // The ports are the same on every host.
 const (
-	httpPort     = 8080 // of an entry, for callers
+	httpPort     = 8080 // port of an entry for callers
 	peerPort     = 7000 // gRPC
-	announcePort = 7001 // of an agent, for its upstream
+	announcePort = 7001 // port of an agent for its upstream
 	upstreamPort = 9000
 )
 
--- a/local/measurement.go
+++ b/local/measurement.go
@@ -34,7 +34,7 @@
 	demand  string
 	results []submitter.Result
 	elapsed time.Duration
-	cpuTime time.Duration // of all roles, callers and upstreams
+	cpuTime time.Duration // total of all roles, callers and upstreams
 	flows   map[counter.Flow]counter.Tally
 	waits   waits
 	report  *report
--- a/local/simulator/fakeagent_test.go
+++ b/local/simulator/fakeagent_test.go
@@ -21,8 +21,8 @@
 	partitionedUntil  time.Time
 	streamBroken      bool // the stream has lost a message, so later ones are lost too
 	wakeAt            time.Time
-	lastReportArrival time.Time // of the last message to the leader, since messages keep their order
-	lastOrderArrival  time.Time // of the last message from the leader
+	lastReportArrival time.Time // arrival of the last message to the leader; later messages arrive after it
+	lastOrderArrival  time.Time // arrival of the last message from the leader
 }
 
 var lastStreamID dispatcher.Stream
--- a/local/submitter/submitter.go
+++ b/local/submitter/submitter.go
@@ -21,7 +21,7 @@
 type Submitter struct {
 	Entries []netip.AddrPort
 	Client  *http.Client
-	Prefix  string // of the idempotency keys
+	Prefix  string // prefix of the idempotency keys
 }
 
 // Replay submits every job of a trace at its arrival time and waits for all answers.
--- a/replay/player/agent.go
+++ b/replay/player/agent.go
@@ -17,7 +17,7 @@
 	index      int // number of the worker in the trace
 	zone       int
 	queue      orderer.Queue
-	owners     map[specifier.TaskKey]*entry // which entry sent each task
+	owners     map[specifier.TaskKey]*entry // entry that sent each task
 	reporter   orderer.Reporter[int]        // by index of the entry
 	classifier classifier.Classifier
 	pushCount  int
--- a/replay/reporter/summary.go
+++ b/replay/reporter/summary.go
@@ -18,7 +18,7 @@
 	AllMedian, AllP99                float64 // p50 and p99 of all jobs
 	ShortMedian                      float64
 	ShortP99                         float64 // p99 of jobs of 1 to 8 tasks
-	WorstWide                        float64 // of jobs of more than 60 tasks
+	WorstWide                        float64 // highest ratio of jobs of more than 60 tasks
 	Goodput                          float64 // work answered in time over the smaller of demand and capacity
 	Blocking                         float64 // ShortP99 over its value without the long jobs; 0: not measured
 	MaxLostTasks                     int     // tasks of one entry that failed on unhealthy workers, maximum over the entries
--- a/state/journaler/frame.go
+++ b/state/journaler/frame.go
@@ -32,7 +32,7 @@
 type header struct {
 	length   uint32
 	number   uint64
-	checksum uint32 // of the payload
+	checksum uint32 // checksum of the payload
 }
 
 func (h header) append(buffer []byte) []byte {
--- a/state/journaler/journal.go
+++ b/state/journaler/journal.go
@@ -20,7 +20,7 @@
 	sealed      []segment // oldest first
 	active      segment
 	file        File
-	size        int64  // of the active segment, in bytes
+	size        int64  // size of the active segment, in bytes
 	activeEmpty bool   // whether the active segment holds only its initial frame
 	nextFrame   uint64 // number of the next frame
 	diskID      uint64 // stored identity of the data folder
--- a/state/registrar/request.go
+++ b/state/registrar/request.go
@@ -9,7 +9,7 @@
 // request records the decision on a configuration change, to answer a resend.
 type request struct {
 	id        string
-	digest    specifier.Digest // of the change
+	digest    specifier.Digest // digest of the change
 	operator  string
 	decision  specifier.Decision
 	keepUntil time.Time
--- a/state/registrar/submission.go
+++ b/state/registrar/submission.go
@@ -5,7 +5,7 @@
 type submission struct {
 	digest        digest
 	acceptedIndex uint64  // log index of the batch of the first acceptance, or of the latest one after a release or refusal
-	epoch         uint32  // of the current owner
+	epoch         uint32  // epoch of the current owner
 	keepUntil     seconds // expiry time on the clock of the log
 	owner         uint32  // interned in Registrar.owners
 	answer        uint32  // interned in Registrar.answers
