--- a/entry/requester/machine.go
+++ b/entry/requester/machine.go
@@ -18,7 +18,7 @@
 	// When there has been no leader for longer than leaderTimeout, a new job waits for one for its ideal run time divided
 	// by idealDivisor.
 	idealDivisor = 4
-	// pingInterval keeps traffic on the stream, since an idle stream counts as broken.
+	// pingInterval keeps traffic on the stream, since an idle stream is treated as broken.
 	pingInterval = 100 * time.Millisecond
 )
 
@@ -28,7 +28,7 @@
 	calls          map[uint64]*pending
 	byReply        map[chan<- answer]*pending
 	outbox         *looper.Outbox[*encoder.QueueCalls] // nil without a stream
-	disconnectedAt time.Time                           // when the stream ended, or the first call found none; zero with a stream
+	disconnectedAt time.Time                           // when the stream ended, or the first call found no stream; zero with a stream
 	pingAt         time.Time
 	actions        []action
 }
--- a/local/deployer/stop_test.go
+++ b/local/deployer/stop_test.go
@@ -30,7 +30,7 @@
 	tasksPerJob   = 4
 )
 
-// burst runs many callers at once. A caller whose job is refused because the entry stops submits it again at the
+// burst runs many callers concurrently. A caller whose job is refused because the entry stops submits it again at the
 // other entry, under a new key, because the refusal of the first key stays valid for specifier.RefusalRetention.
 type burst struct {
 	sender *submitter.Submitter
@@ -134,7 +134,7 @@
 
 // Guards against a graceful shutdown of an agent and an entry that aborts a request or a task, refuses a job that ran, or
 // leaks a goroutine.
-func TestPlannedStopCutsNothingOff(t *testing.T) {
+func TestGracefulShutdownAbortsNothing(t *testing.T) {
 	leaks := goleak.IgnoreCurrent()
 	starts := &emulator.StartLog{}
 	site := startSite(t, starts)
